--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -69,7 +69,7 @@
 
 // relieve publishes at once when a full queue has a place again.
 func (o *owner) relieve() {
-	if o.full && !o.sched.Full() {
+	if o.full && !o.sched.QueueFull() {
 		o.publish()
 	}
 }
@@ -204,7 +204,7 @@
 		return
 	}
 	o.dirty = false
-	o.full = o.sched.Full()
+	o.full = o.sched.QueueFull()
 	o.number++
 	d := o.sched.Digest(o.run.Clock())
 	d.Number = o.number
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -87,7 +87,7 @@
 		if copies[group] == nil {
 			copies[group] = r.homes[0].place.Copies(group)
 		}
-		o.sched.Copies(copies[group])
+		o.sched.SetCopies(copies[group])
 		o.report()
 	}
 }
--- a/internal/edge/build.go
+++ b/internal/edge/build.go
@@ -11,11 +11,11 @@
 	"damaskreach/internal/feeds"
 	"damaskreach/internal/flight"
 	"damaskreach/internal/flow"
-	"damaskreach/internal/giver"
 	"damaskreach/internal/holds"
 	"damaskreach/internal/intake"
 	"damaskreach/internal/jitter"
 	"damaskreach/internal/limits"
+	"damaskreach/internal/loader"
 	"damaskreach/internal/pick"
 	"damaskreach/internal/quotas"
 	"damaskreach/internal/ration"
@@ -95,11 +95,11 @@
 }
 
 // buildGiver makes what gives engines their orders.
-func (e *Edge) buildGiver(s setup.Setup) *giver.Giver {
-	return &giver.Giver{
-		Give: e.order, Ask: e.Ask, Fence: e.tenure.Fence, Mine: e.tenure.Mine, View: e.intake.View, Tell: e.learn, Recall: e.recall,
-		Flow: flow.NewFlow(), Jitter: e.jitter, Ration: e.ration, Leaves: e.avoid.Leaves, Unused: e.unused, Others: e.modelLoads,
-		Window: func() time.Duration { return e.Setup().Loads }, Holder: s.IP,
+func (e *Edge) buildGiver(s setup.Setup) *loader.Loader {
+	return &loader.Loader{
+		SendOrder: e.order, FetchState: e.Ask, Fence: e.tenure.Fence, OwnedEngines: e.tenure.Mine, View: e.intake.View, Publish: e.learn, FetchMemo: e.recall,
+		Flow: flow.NewFlow(), Jitter: e.jitter, Ration: e.ration, DrainAnnounced: e.avoid.Leaves, UnusedAfter: e.unused, OtherModelLoads: e.modelLoads,
+		ModelLoadWindow: func() time.Duration { return e.Setup().Loads }, Holder: s.IP,
 		Log: e.Log, Stats: e.Stats,
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -20,11 +20,11 @@
 	"damaskreach/internal/effect"
 	"damaskreach/internal/feeds"
 	"damaskreach/internal/flight"
-	"damaskreach/internal/giver"
 	"damaskreach/internal/holds"
 	"damaskreach/internal/intake"
 	"damaskreach/internal/jitter"
 	"damaskreach/internal/limits"
+	"damaskreach/internal/loader"
 	"damaskreach/internal/mates"
 	"damaskreach/internal/notice"
 	"damaskreach/internal/past"
@@ -79,7 +79,7 @@
 
 	intake  *intake.Intake
 	tenure  *tenure.Tenure
-	giver   *giver.Giver
+	giver   *loader.Loader
 	quotas  *quotas.Quotas
 	limits  *limits.Limits
 	mates   atomic.Pointer[mates.Mates]
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -136,7 +136,7 @@
 		e.speeds.Told(s.ID, s.Event)
 	}
 	e.blame.Hear(g.Broke, now)
-	e.giver.Take(g.Uses, now)
+	e.giver.RecordUsage(g.Uses, now)
 }
 
 // learn takes what an engine holds that this host orders.
@@ -152,7 +152,7 @@
 func (e *Edge) use(id, adapter string) (done func()) {
 	e.news.begin(id, adapter)
 	if adapter != "" && e.tenure.Owner(id) == e.Setup().IP {
-		e.giver.Used(id, []string{adapter}, time.Now())
+		e.giver.MarkUsed(id, []string{adapter}, time.Now())
 	}
 	return func() { e.news.end(id, adapter) }
 }
@@ -219,7 +219,7 @@
 
 // ended takes that a turn, or a request at a brittle upstream, has ended that this host counts.
 func (e *Edge) ended(s spent.Spent) {
-	e.giver.Spent(s)
+	e.giver.EndTurn(s)
 	e.flight.Ended(s.Engine, s.Turn, s.Away)
 }
 
--- a/internal/edge/tell.go
+++ b/internal/edge/tell.go
@@ -17,7 +17,7 @@
 	for range turns.Every(ctx, selfEvery) {
 		e.look()
 		ip := e.Setup().IP
-		e.giver.Take(e.uses(ip, e.grants), time.Now())
+		e.giver.RecordUsage(e.uses(ip, e.grants), time.Now())
 	}
 }
 
@@ -25,7 +25,7 @@
 func (e *Edge) own() (own busy.Busy, uses []usage.Usage, broke []string) {
 	own = busy.Busy{
 		Leaving: e.leaving.Load(), Lapsed: e.tenure.Left() <= 0, Away: e.intake.Away(), Cut: e.reach.Cut() > 0,
-		Loads: e.loads(), Waits: e.waits(), Models: e.giver.Models(),
+		Loads: e.loads(), Waits: e.waits(), Models: e.giver.LoadingModels(),
 	}
 	uses = e.uses(e.Setup().IP, func(id string) bool { return !e.grants(id) })
 	return own, uses, e.blame.News()
@@ -46,7 +46,7 @@
 func (e *Edge) waits() map[string]int {
 	ms := map[string]int{}
 	now := time.Now()
-	for id, wait := range e.giver.Waits(e.grants) {
+	for id, wait := range e.giver.QueueWaits(e.grants) {
 		e.pick.Waits(id, wait, now)
 		if wait >= time.Millisecond {
 			ms[id] = int(wait.Milliseconds())
@@ -57,7 +57,7 @@
 
 // loads returns how busy the engines are whose turns this host grants, and notes it for its own choices.
 func (e *Edge) loads() map[string]int {
-	loads := e.giver.Loads(e.grants)
+	loads := e.giver.RunningRequests(e.grants)
 	now := time.Now()
 	for id, n := range loads {
 		e.pick.Told(id, n, now)
--- a/internal/giver/begun_test.go
+++ b/internal/loader/begun_test.go
@@ -1,4 +1,4 @@
-package giver_test
+package loader_test
 
 import (
 	"sync"
@@ -9,11 +9,11 @@
 	"damaskreach/internal/want"
 )
 
-// A quarter of the engines is lost at once with all their streams, at a busy moment. The rest of an answer must not queue behind requests that
-// can be refused and come back: its caller would lose what it has. New requests get their turns behind it.
-func TestAnswersUnderWayGoBeforeNewRequests(t *testing.T) {
+// A quarter of the engines fails under load. The rest of a started answer must not queue behind new requests: if refused, its
+// caller loses the part that it has, while new requests can be retried.
+func TestStartedAnswersGoBeforeNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := loaded(t, newEngine(2))
+		l := startLoaded(t, newEngine(2))
 		const fresh, begun, cost = 30, 8, 60 * time.Millisecond
 		waits := map[bool][]time.Duration{}
 		refused := map[bool]int{}
@@ -22,14 +22,14 @@
 		start := time.Now()
 		for i := range fresh + begun {
 			w := want.Want{
-				ID: "e", Host: "h", Model: "m", Adapter: name(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
-				Patience: patience, Limit: hopeless, Begun: i >= fresh,
+				ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
+				Patience: patience, Limit: callerTimeout, Begun: i >= fresh,
 			}
 			if w.Begun {
 				w.Patience, w.Rank = 0, 5
 			}
 			group.Go(func() {
-				err := g.Admit(t.Context(), w)
+				err := l.Admit(t.Context(), w)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -45,8 +45,8 @@
 		for _, wait := range waits[true] {
 			last = max(last, wait)
 		}
-		if most := (begun + 3) * cost * 3 / 2; refused[true] > 0 || last > most {
-			t.Errorf("answers under way: %d refused, the last waited %v; want none, and %v at most", refused[true], last, most)
+		if maxWait := (begun + 3) * cost * 3 / 2; refused[true] > 0 || last > maxWait {
+			t.Errorf("started answers: %d refused, the last waited %v; want none, and %v at most", refused[true], last, maxWait)
 		}
 		if len(waits[false]) == 0 {
 			t.Error("no new request got its turn, want some behind them")
--- a/internal/giver/share_test.go
+++ b/internal/loader/share_test.go
@@ -1,4 +1,4 @@
-package giver_test
+package loader_test
 
 import (
 	"math/rand/v2"
@@ -10,11 +10,11 @@
 	"damaskreach/internal/want"
 )
 
-// One team sends many times its usual to an engine that can read some 15 prompts a second. In order of arrival everybody would wait behind it;
-// a team that asks for less than its share must be served as if it were alone, and the hot one gets what is left.
-func TestHotTeamDoesNotCrowdOthersOut(t *testing.T) {
+// One team sends many times its usual load to an engine that reads 15 prompts a second. Teams below their share must be served
+// as if they were alone; the hot team gets what is left.
+func TestHotTeamDoesNotStarveOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := loaded(t, newEngine(2))
+		l := startLoaded(t, newEngine(2))
 		const cost, span = 50 * time.Millisecond, 15 * time.Second
 		type tally struct {
 			asked, onTime, refused int
@@ -33,12 +33,12 @@
 				team = "smaller"
 			}
 			w := want.Want{
-				ID: "e", Host: "h", Model: "m", Adapter: name(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
-				Patience: patience, Limit: hopeless, Team: team, Weight: 1,
+				ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
+				Patience: patience, Limit: callerTimeout, Team: team, Weight: 1,
 			}
 			group.Go(func() {
 				begun := time.Now()
-				err := g.Admit(t.Context(), w)
+				err := l.Admit(t.Context(), w)
 				mu.Lock()
 				defer mu.Unlock()
 				one := sums[w.Team]
--- a/internal/owner/former.go
+++ b/internal/owner/former.go
@@ -138,7 +138,7 @@
 			o.carry(h, h.sched.Pin(model))
 		}
 	}
-	o.carry(h, h.sched.Hold(hold))
+	o.carry(h, h.sched.HoldUnloads(hold))
 	for model := range h.pinned {
 		if !used[model] {
 			o.carry(h, h.sched.Unpin(model))
--- a/internal/owner/held.go
+++ b/internal/owner/held.go
@@ -73,9 +73,9 @@
 	for _, f := range row.Formers {
 		h.formers[f.Session] = &former{session: f.Session, peer: f.Peer}
 	}
-	h.sched.Hold(len(h.formers) > 0)
+	h.sched.HoldUnloads(len(h.formers) > 0)
 	for _, model := range h.barred {
-		h.sched.Bar(model)
+		h.sched.Block(model)
 	}
 	return h
 }
--- a/internal/owner/late.go
+++ b/internal/owner/late.go
@@ -16,7 +16,7 @@
 		return
 	default:
 		h.late[model] = now
-		h.sched.Late(model)
+		h.sched.UnloadUnanswered(model)
 		h.row = h.row.WithLate(model)
 	}
 	h.dirty = h.dirty || !h.spec.Fences
@@ -38,7 +38,7 @@
 		delete(h.late, model)
 		h.row = h.row.WithoutLate(model)
 		h.dirty = h.dirty || !h.spec.Fences
-		o.carry(h, h.sched.Unbar(model))
+		o.carry(h, h.sched.Unblock(model))
 	}
 }
 
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -159,7 +159,7 @@
 func (o *Owner) unsent(h *held, model string, err error) {
 	delete(h.orders, model)
 	o.Log.Warn("announcing an unload failed; the model stays", zap.String("runner", h.spec.Name), zap.String("model", model), zap.Error(err))
-	o.carry(h, h.sched.Unsent(time.Now(), model))
+	o.carry(h, h.sched.UnloadUnsent(time.Now(), model))
 	o.writeNext(h)
 	o.dropClosed()
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -161,8 +161,8 @@
 	o.dropLost(now)
 	o.retune()
 	for _, h := range o.held {
-		h.sched.Copies(o.Copies(h.spec.Group))
-		h.sched.Keep(o.kept(h))
+		h.sched.SetCopies(o.Copies(h.spec.Group))
+		h.sched.KeepResident(o.kept(h))
 		o.poll(h)
 		o.askFormers(h)
 		o.writeNext(h)
@@ -179,7 +179,7 @@
 	}
 	o.tune = next
 	for _, h := range o.held {
-		o.carry(h, h.sched.Tune(next))
+		o.carry(h, h.sched.SetTune(next))
 	}
 }
 
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -66,7 +66,7 @@
 	a := newAttempt(c)
 	h.attempts[c.Attempt] = a
 	t, _ := o.Catalog().Tenant(c.Tenant)
-	h.sched.Weigh(c.Tenant, t.Weight)
+	h.sched.SetWeight(c.Tenant, t.Weight)
 	o.carry(h, h.sched.Submit(time.Now(), c))
 	h.hurry(c.Model())
 	return submitted{held: h, attempt: a}
--- a/internal/sched/recent.go
+++ b/internal/sched/attempts.go
@@ -1,8 +1,8 @@
 package sched
 
-const recentAttempts = 8192
+const maxRecentAttempts = 8192
 
-// recent remembers the latest attempts, so that a submit that arrives twice is not started twice.
+// recent remembers the latest attempts, so that a repeated submit is not started twice.
 type recent struct {
 	names map[string]bool
 	ring  []string
@@ -10,10 +10,10 @@
 }
 
 func newRecent() *recent {
-	return &recent{names: map[string]bool{}, ring: make([]string, recentAttempts)}
+	return &recent{names: map[string]bool{}, ring: make([]string, maxRecentAttempts)}
 }
 
-// add remembers an attempt and reports whether it was new.
+// add remembers an attempt and reports whether it is new.
 func (r *recent) add(attempt string) bool {
 	if r.names[attempt] {
 		return false
--- a/internal/sched/referee_test.go
+++ b/internal/sched/checker_test.go
@@ -17,46 +17,46 @@
 	"damaskreach/pkg/verd"
 )
 
-// referee carries orders out on a model of the engine and fails the test on the first one that breaks a rule.
-type referee struct {
-	t       *rapid.T
-	s       *sched.Sched
-	now     time.Time
-	slots   int
-	batch   int
-	boot    int
-	told    int // boot of the last report
-	serial  int
-	held    map[string]string // model to "loading", "resident" or "unloading"
-	pinned  map[string]bool
-	queued  map[string]call.Call
-	running map[string]call.Call
-	loads   []string
-	unloads []string
-	sent    map[string]bool // models of which an unload was sent and failed
-	emptied map[string]bool // models the engine lost whose unload is under way
-	log     []order.Order
+// checker carries orders out on a model of the engine and fails the test on the first one that violates an invariant.
+type checker struct {
+	t             *rapid.T
+	s             *sched.Sched
+	now           time.Time
+	slots         int
+	batch         int
+	boot          int
+	reportedBoot  int // of the last report
+	serial        int
+	held          map[string]string // "loading", "resident", "unloading" or "lost", by model
+	pinned        map[string]bool
+	queued        map[string]call.Call
+	running       map[string]call.Call
+	loads         []string
+	unloads       []string
+	failedUnloads map[string]bool // models of which an unload was sent and failed
+	lostUnloads   map[string]bool // models that the engine lost and whose unload is in progress
+	log           []order.Order
 }
 
-func newReferee(t *rapid.T) *referee {
+func newChecker(t *rapid.T) *checker {
 	slots := rapid.IntRange(1, 4).Draw(t, "slots")
 	batch := rapid.IntRange(1, 6).Draw(t, "batch")
 	tu := tune.Default()
 	tu.Queue = rapid.IntRange(1, 8).Draw(t, "queue")
 	tu.Stall = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "stall")
-	r := &referee{t: t, now: start, slots: slots, batch: batch}
+	r := &checker{t: t, now: startTime, slots: slots, batch: batch}
 	r.s = sched.NewSched(runner.Runner{Name: "r1", Group: "g", Slots: slots, Batch: batch}, tu)
 	r.held = map[string]string{}
 	r.pinned = map[string]bool{}
-	r.sent = map[string]bool{}
-	r.emptied = map[string]bool{}
+	r.failedUnloads = map[string]bool{}
+	r.lostUnloads = map[string]bool{}
 	r.queued = map[string]call.Call{}
 	r.running = map[string]call.Call{}
 	r.report()
 	return r
 }
 
-func (r *referee) inUse(model string) int {
+func (r *checker) inUse(model string) int {
 	n := 0
 	for _, c := range r.running {
 		if c.Adapter != "" && c.Model() == model {
@@ -66,7 +66,7 @@
 	return n
 }
 
-func (r *referee) apply(orders []order.Order) {
+func (r *checker) apply(orders []order.Order) {
 	r.log = append(r.log, orders...)
 	for _, o := range orders {
 		switch o.Kind {
@@ -84,12 +84,12 @@
 	}
 }
 
-func (r *referee) start(o order.Order) {
+func (r *checker) start(o order.Order) {
 	c, queued := r.queued[o.Attempt]
 	if !queued {
 		r.t.Fatalf("start of %s, which is not queued", o.Attempt)
 	}
-	unaware := r.held[c.Model()] == "lost" && r.told != r.boot
+	unaware := r.held[c.Model()] == "lost" && r.reportedBoot != r.boot
 	if c.Adapter != "" && r.held[c.Model()] != "resident" && !unaware {
 		r.t.Fatalf("start on %s: got state %q, want resident", c.Model(), r.held[c.Model()])
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (r *referee) load(o order.Order) {
+func (r *checker) load(o order.Order) {
 	if r.held[o.Model] != "" {
 		r.t.Fatalf("load of %s, which is %s", o.Model, r.held[o.Model])
 	}
@@ -111,17 +111,17 @@
 	}
 }
 
-func (r *referee) unload(o order.Order) {
+func (r *checker) unload(o order.Order) {
 	repeated := r.held[o.Model] == "unloading" && !slices.Contains(r.unloads, o.Model)
 	if !repeated && r.held[o.Model] != "resident" && r.held[o.Model] != "lost" || r.inUse(o.Model) > 0 || r.pinned[o.Model] {
 		r.t.Fatalf("unload of %s: state %q, %d in use, pinned %t", o.Model, r.held[o.Model], r.inUse(o.Model), r.pinned[o.Model])
 	}
-	r.emptied[o.Model] = r.emptied[o.Model] || r.held[o.Model] == "lost"
+	r.lostUnloads[o.Model] = r.lostUnloads[o.Model] || r.held[o.Model] == "lost"
 	r.held[o.Model] = "unloading"
 	r.unloads = append(r.unloads, o.Model)
 }
 
-func (r *referee) refuse(o order.Order) {
+func (r *checker) refuse(o order.Order) {
 	if _, queued := r.queued[o.Attempt]; !queued {
 		r.t.Fatalf("refusal of %s, which is not queued", o.Attempt)
 	}
@@ -130,26 +130,26 @@
 		r.t.Fatalf("verdict: got %v, want %v", got, want)
 	}
 	if o.Refusal.Code != refuse.Moved && o.Refusal.Retry <= 0 {
-		r.t.Fatalf("retry of %s: got %v, want when to come back", o.Refusal.Code, o.Refusal.Retry)
+		r.t.Fatalf("retry of %s: got %v, want a retry time", o.Refusal.Code, o.Refusal.Retry)
 	}
 }
 
-func (r *referee) report() {
+func (r *checker) report() {
 	rep := report.Report{At: r.now, Boot: fmt.Sprint("b", r.boot), Slots: r.slots, Batch: r.batch, Running: map[string]int{}}
-	if r.told != r.boot {
+	if r.reportedBoot != r.boot {
 		clear(r.pinned)
 	}
 	for model, state := range r.held {
-		if state == "resident" || state == "unloading" && !r.emptied[model] {
+		if state == "resident" || state == "unloading" && !r.lostUnloads[model] {
 			rep.Resident = append(rep.Resident, model)
 		}
 	}
-	r.told = r.boot
+	r.reportedBoot = r.boot
 	r.apply(r.s.Report(r.now, rep))
 }
 
-// act takes one random step.
-func (r *referee) act() {
+// step takes one random step.
+func (r *checker) step() {
 	r.now = r.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(r.t, "ms")) * time.Millisecond)
 	switch rapid.IntRange(0, 12).Draw(r.t, "step") {
 	case 0, 1, 2, 3:
@@ -171,14 +171,14 @@
 		}
 		r.report()
 	case 11:
-		r.stray()
+		r.confirmUnordered()
 	default:
 		r.apply(r.s.Tick(r.now))
 	}
 }
 
-// stray confirms what was not ordered, as a driver may after a restart of its own.
-func (r *referee) stray() {
+// confirmUnordered confirms what was not ordered, as a caller may after a restart.
+func (r *checker) confirmUnordered() {
 	model := rapid.SampledFrom([]string{"m1@", "m2@", "m7@"}).Draw(r.t, "stray")
 	if r.held[model] != "loading" {
 		r.apply(r.s.Loaded(r.now, model, nil))
@@ -188,7 +188,7 @@
 	}
 }
 
-func (r *referee) submit() {
+func (r *checker) submit() {
 	r.serial++
 	c := call.Call{
 		Attempt:  fmt.Sprint("a", r.serial),
@@ -205,8 +205,8 @@
 	r.apply(r.s.Submit(r.now, c))
 }
 
-// first returns the least key, so that the choice does not depend on the order of a map.
-func first[V any](from map[string]V) string {
+// minKey returns the smallest key, so that the choice does not depend on the map order.
+func minKey[V any](from map[string]V) string {
 	least := ""
 	for key := range from {
 		if least == "" || key < least {
@@ -216,20 +216,20 @@
 	return least
 }
 
-func (r *referee) finish(tokens int) {
-	attempt := first(r.running)
+func (r *checker) finish(tokens int) {
+	attempt := minKey(r.running)
 	delete(r.running, attempt)
 	r.apply(r.s.Finish(r.now, attempt, tokens))
 }
 
-func (r *referee) cancel() {
-	attempt := first(r.queued)
+func (r *checker) cancel() {
+	attempt := minKey(r.queued)
 	delete(r.queued, attempt)
 	r.apply(r.s.Cancel(r.now, attempt))
-	r.apply(r.s.Cancel(r.now, first(r.running)))
+	r.apply(r.s.Cancel(r.now, minKey(r.running)))
 }
 
-func (r *referee) pin() {
+func (r *checker) pin() {
 	model := rapid.SampledFrom([]string{"m1@", "m2@", "m3@"}).Draw(r.t, "pin")
 	r.pinned[model] = !r.pinned[model]
 	if r.pinned[model] {
@@ -239,21 +239,21 @@
 	r.apply(r.s.Unpin(model))
 }
 
-// crash empties the engine, which the scheduler learns of by the next report.
-func (r *referee) crash() {
+// crash empties the engine, which the scheduler learns from the next report.
+func (r *checker) crash() {
 	r.boot++
 	for model, state := range r.held {
 		switch state {
 		case "resident":
 			r.held[model] = "lost"
 		case "unloading":
-			r.emptied[model] = true
+			r.lostUnloads[model] = true
 		}
 	}
 }
 
-// settle lets everything that is under way succeed until nothing is queued.
-func (r *referee) settle() {
+// drainQueue lets all work in progress succeed until nothing is queued.
+func (r *checker) drainQueue() {
 	for model, pinned := range r.pinned {
 		if pinned {
 			r.pinned[model] = false
--- a/internal/sched/confirm_test.go
+++ b/internal/sched/confirm_test.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-func (r *referee) confirmLoad(fails bool) {
+func (r *checker) confirmLoad(fails bool) {
 	if len(r.loads) == 0 {
 		return
 	}
@@ -17,7 +17,7 @@
 	r.apply(r.s.Loaded(r.now, model, nil))
 }
 
-func (r *referee) confirmUnload(outcome string) {
+func (r *checker) confirmUnload(outcome string) {
 	if len(r.unloads) == 0 {
 		return
 	}
@@ -25,23 +25,23 @@
 	r.unloads = r.unloads[1:]
 	switch {
 	case outcome == "fails":
-		r.sent[model] = true
+		r.failedUnloads[model] = true
 		r.apply(r.s.Unloaded(r.now, model, errors.New("unload failed")))
 		return
-	case outcome == "unsent" && r.sent[model]: // it may be gone: nothing may start on it
-		r.apply(r.s.Unsent(r.now, model))
+	case outcome == "unsent" && r.failedUnloads[model]: // it may be gone: no request may start on it
+		r.apply(r.s.UnloadUnsent(r.now, model))
 		return
 	case outcome == "unsent":
 		r.held[model] = "resident"
-		if r.emptied[model] {
+		if r.lostUnloads[model] {
 			r.held[model] = "lost"
 		}
-		delete(r.emptied, model)
-		r.apply(r.s.Unsent(r.now, model))
+		delete(r.lostUnloads, model)
+		r.apply(r.s.UnloadUnsent(r.now, model))
 		return
 	}
 	delete(r.held, model)
-	delete(r.sent, model)
-	delete(r.emptied, model)
+	delete(r.failedUnloads, model)
+	delete(r.lostUnloads, model)
 	r.apply(r.s.Unloaded(r.now, model, nil))
 }
--- a/internal/sched/finish.go
+++ b/internal/sched/finish.go
@@ -6,33 +6,32 @@
 	"damaskreach/internal/order"
 )
 
-// Finish ends an attempt in progress, however it ended; tokens is how many answer tokens came.
+// Finish ends an attempt in progress, whatever its result; tokens is the number of answer tokens.
 func (s *Sched) Finish(now time.Time, attempt string, tokens int) []order.Order {
 	i := s.running[attempt]
 	if i == nil {
 		return s.plan(now)
 	}
-	s.drop(i)
+	s.removeRunning(i)
 	spent := now.Sub(i.started)
-	s.answer.learn(spent)
-	if tokens >= leastTokens {
-		s.pace.learn(spent.Seconds() / float64(tokens))
-		s.short.learn(float64(tokens) / float64(max(1, i.call.Tokens)))
+	s.answerTime.learn(spent)
+	if tokens >= minTokens {
+		s.minTokenSeconds.learn(spent.Seconds() / float64(tokens))
+		s.minTokenShare.learn(float64(tokens) / float64(max(1, i.call.Tokens)))
 	}
 	return s.plan(now)
 }
 
-// Cancel takes a queued attempt back without an answer. One in progress keeps its model in use until Finish:
-// the engine may still work on it, and unloading its model would break it or another caller's answer.
+// Cancel removes a queued attempt without an answer. One in progress keeps its model in use until Finish: the engine may
+// still work on it, and unloading the model would break its or another caller's answer.
 func (s *Sched) Cancel(now time.Time, attempt string) []order.Order {
-	if i := s.find(attempt); i != nil {
-		s.remove(i)
+	if i := s.findQueued(attempt); i != nil {
+		s.removeQueued(i)
 	}
 	return s.plan(now)
 }
 
-// drop takes an item out of those in progress.
-func (s *Sched) drop(i *item) {
+func (s *Sched) removeRunning(i *item) {
 	delete(s.running, i.call.Attempt)
 	if i.model != nil {
 		i.model.running--
--- a/internal/sched/item.go
+++ b/internal/sched/item.go
@@ -9,18 +9,18 @@
 // item is an attempt that is queued or in progress.
 type item struct {
 	call    call.Call
-	model   *model // nil where the call needs no adapter
+	model   *model // nil if the call needs no adapter
 	serial  int64
 	arrived time.Time
 	started time.Time
 }
 
-// ready reports whether nothing but room in the batch keeps the item from starting.
+// ready reports whether the item can start once the batch has room.
 func (i *item) ready() bool {
-	return i.model == nil || i.model.open()
+	return i.model == nil || i.model.startable()
 }
 
-// before reports whether i is to be started or loaded for ahead of other.
+// before reports whether i is served before other.
 func (s *Sched) before(i, other *item) bool {
 	if i.call.Priority != other.call.Priority {
 		return i.call.Priority > other.call.Priority
@@ -32,23 +32,22 @@
 	return i.serial < other.serial
 }
 
-// remove takes an item out of the queue.
-func (s *Sched) remove(gone *item) {
+func (s *Sched) removeQueued(target *item) {
 	kept := s.queue[:0]
 	for _, i := range s.queue {
-		if i != gone {
+		if i != target {
 			kept = append(kept, i)
 		}
 	}
 	s.queue[len(s.queue)-1] = nil
 	s.queue = kept
-	if gone.model != nil {
-		gone.model.waiting--
+	if target.model != nil {
+		target.model.waiting--
 	}
 }
 
-// find returns the queued item of an attempt, or nil.
-func (s *Sched) find(attempt string) *item {
+// findQueued returns the queued item of an attempt, or nil.
+func (s *Sched) findQueued(attempt string) *item {
 	for _, i := range s.queue {
 		if i.call.Attempt == attempt {
 			return i
--- a/internal/sched/model.go
+++ b/internal/sched/model.go
@@ -8,43 +8,43 @@
 	"damaskreach/internal/decay"
 )
 
-// state says where a model stands on the runner.
+// state is the state of a model on the runner.
 type state int
 
 const (
 	absent    state = iota
-	loading         // a Load was ordered and not confirmed; its slot is taken
+	loading         // a Load was ordered and not confirmed; the slot is taken
 	resident        // requests may start
-	unloading       // an Unload was ordered and not confirmed; its slot is still taken
-	barred          // an earlier owner may be unloading it; nothing starts and its slot counts as taken
+	unloading       // an Unload was ordered and not confirmed; the slot is still taken
+	blocked         // an earlier owner may be unloading it: no request starts, and the slot counts as taken
 )
 
-// model is what is known of one adapter version on this runner, resident or not.
+// model is one adapter version on this runner, resident or not.
 type model struct {
-	name     string
-	state    state
-	running  int       // requests in progress
-	waiting  int       // requests queued
-	foreign  int       // requests in progress that the engine reports and this owner did not start
-	pinned   bool      // must not be unloaded yet
-	adopted  bool      // was resident before this owner ordered any load of it
-	late     bool      // an unload of it without an answer may still arrive: starts nothing and is not loaded
-	since    time.Time // when it became late
-	drain    bool      // starts nothing more, so that it can be unloaded
-	used     time.Time // latest submit
-	lost     bool      // the engine does not list it: starts nothing and is unloaded once unused
-	changed  time.Time // latest change of state
-	missing  int       // reports in a row that do not list it though it is held resident
-	failures int       // loads in a row that failed
-	after    time.Time // no load before
-	again    time.Time // when a failed unload is repeated; zero while none is
-	refused  int       // unloads in a row that failed
-	gone     bool      // the engine did not list it when its unload was ordered or since
-	demand   decay.Count
+	name             string
+	state            state
+	running          int  // requests in progress
+	waiting          int  // requests queued
+	foreignRunning   int  // requests that the engine reports in progress and this owner did not start
+	pinned           bool // must not be unloaded yet
+	adopted          bool // resident before this owner ordered a load of it
+	unloadUnanswered bool // an unanswered unload may still arrive: no request starts, and it is not loaded
+	unansweredSince  time.Time
+	draining         bool      // no request starts, so that it can be unloaded
+	lastUsed         time.Time // by a submit
+	lost             bool      // not on the engine's list: no request starts, and it is unloaded once unused
+	changedAt        time.Time // of state
+	missingReports   int       // consecutive ones that do not list it though it should be resident
+	loadFailures     int       // consecutive
+	noLoadBefore     time.Time
+	retryUnloadAt    time.Time // zero if no unload failed
+	unloadFailures   int       // consecutive
+	gone             bool      // the engine did not list it when its unload was ordered, or since
+	demand           decay.Count
 }
 
-// turn changes the state of a model and keeps the list of those that hold a slot.
-func (s *Sched) turn(now time.Time, m *model, next state) {
+// setState changes the state of a model and updates the list of models that hold a slot.
+func (s *Sched) setState(now time.Time, m *model, next state) {
 	if m.state == absent && next != absent {
 		at, _ := slices.BinarySearchFunc(s.held, m.name, byName)
 		s.held = slices.Insert(s.held, at, m)
@@ -53,29 +53,29 @@
 		s.held = slices.DeleteFunc(s.held, func(held *model) bool { return held == m })
 	}
 	m.state = next
-	m.changed = now
-	m.drain = false
+	m.changedAt = now
+	m.draining = false
 	m.lost = false
 	m.adopted = false
-	m.again = time.Time{}
-	m.missing = 0
+	m.retryUnloadAt = time.Time{}
+	m.missingReports = 0
 }
 
 func byName(m *model, name string) int {
 	return cmp.Compare(m.name, name)
 }
 
-// open reports whether requests may start.
-func (m *model) open() bool {
-	return m.state == resident && !m.drain && !m.lost && !m.late
+// startable reports whether requests may start on the model.
+func (m *model) startable() bool {
+	return m.state == resident && !m.draining && !m.lost && !m.unloadUnanswered
 }
 
-// idle reports whether the model may be unloaded without cutting or stranding a request.
-func (m *model) idle() bool {
-	return m.state == resident && !m.lost && m.running == 0 && m.foreign == 0 && !m.pinned
+// evictable reports whether the model may be unloaded without cutting off or stranding a request.
+func (m *model) evictable() bool {
+	return m.state == resident && !m.lost && m.running == 0 && m.foreignRunning == 0 && !m.pinned
 }
 
-// model returns the record of a model and makes one where there is none.
+// model returns the record of a model and creates it if needed.
 func (s *Sched) model(name string) *model {
 	m := s.models[name]
 	if m == nil {
@@ -85,13 +85,13 @@
 	return m
 }
 
-// free returns how many slots hold nothing.
-func (s *Sched) free() int {
+// freeSlots returns how many slots hold no model.
+func (s *Sched) freeSlots() int {
 	return max(0, s.slots-len(s.held))
 }
 
-// count returns how many models are in a state other than absent.
-func (s *Sched) count(want state) int {
+// countState returns how many models are in a state other than absent.
+func (s *Sched) countState(want state) int {
 	n := 0
 	for _, m := range s.held {
 		if m.state == want {
@@ -101,14 +101,14 @@
 	return n
 }
 
-// forget drops records of absent models that nobody asks for, so that the table stays small.
-func (s *Sched) forget(now time.Time) {
-	if len(s.models) < manyModels {
+// dropUnused drops records of absent models without demand once there are many, to bound the table.
+func (s *Sched) dropUnused(now time.Time) {
+	if len(s.models) < maxRecords {
 		return
 	}
 	for name, m := range s.models {
-		unused := m.state == absent && m.waiting == 0 && m.failures == 0 && !m.pinned && !m.late
-		if unused && m.demand.At(now, s.tune.HalfLife) < littleDemand {
+		unused := m.state == absent && m.waiting == 0 && m.loadFailures == 0 && !m.pinned && !m.unloadUnanswered
+		if unused && m.demand.At(now, s.tune.HalfLife) < minDemand {
 			delete(s.models, name)
 		}
 	}
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -8,50 +8,50 @@
 	"damaskreach/pkg/refuse"
 )
 
-// plan takes every decision that the present state calls for and returns the orders.
+// plan takes all decisions that the current state calls for and returns the orders.
 func (s *Sched) plan(now time.Time) []order.Order {
 	s.now = now
-	if s.closed != "" {
-		return s.take()
+	if s.closeReason != "" {
+		return s.takeOrders()
 	}
 	s.refuseFailing(now)
 	s.refuseLate(now)
-	s.start(now)
-	s.shed(now)
-	s.unloadAgain(now)
+	s.startQueued(now)
+	s.shedQueue(now)
+	s.retryUnloads(now)
 	s.unloadLost(now)
 	s.loadWanted(now)
 	s.refuseStuck(now)
-	s.loadAhead(now)
-	return s.take()
+	s.preload(now)
+	return s.takeOrders()
 }
 
-// refuseFailing refuses attempts for a model whose loads keep failing, until the next try is due.
+// refuseFailing refuses attempts for models whose loads keep failing, until the next try is due.
 func (s *Sched) refuseFailing(now time.Time) {
 	for k := 0; k < len(s.queue); {
 		m := s.queue[k].model
-		if m != nil && m.state == absent && m.failures >= loadTries && now.Before(m.after) {
-			s.refuse(s.queue[k], refuse.LoadFailed, "the adapter could not be loaded", m.after.Sub(now))
+		if m != nil && m.state == absent && m.loadFailures >= maxLoadFailures && now.Before(m.noLoadBefore) {
+			s.refuse(s.queue[k], refuse.LoadFailed, "the adapter could not be loaded", m.noLoadBefore.Sub(now))
 			continue
 		}
 		k++
 	}
 }
 
-// start starts queued attempts while the batch has room.
-func (s *Sched) start(now time.Time) {
+// startQueued starts queued attempts while the batch has room.
+func (s *Sched) startQueued(now time.Time) {
 	for len(s.running) < s.batch {
-		next := s.next()
+		next := s.nextStartable()
 		if next == nil {
 			return
 		}
-		s.remove(next)
-		s.run(now, next)
+		s.removeQueued(next)
+		s.startItem(now, next)
 	}
 }
 
-// next returns the attempt to start first among those that can start, or nil.
-func (s *Sched) next() *item {
+// nextStartable returns the first attempt that can start, or nil.
+func (s *Sched) nextStartable() *item {
 	var best *item
 	for _, i := range s.queue {
 		if i.ready() && (best == nil || s.before(i, best)) {
@@ -61,8 +61,7 @@
 	return best
 }
 
-// run starts one attempt.
-func (s *Sched) run(now time.Time, i *item) {
+func (s *Sched) startItem(now time.Time, i *item) {
 	i.started = now
 	s.running[i.call.Attempt] = i
 	s.shares.start(i.call.Tenant, i.call.Tokens)
@@ -77,14 +76,14 @@
 	if i.model != nil {
 		i.model.running++
 		why.Model = i.model.name
-		why.Stall = max(0, i.model.changed.Sub(i.arrived))
+		why.Stall = max(0, i.model.changedAt.Sub(i.arrived))
 	}
-	s.out = append(s.out, order.Order{Kind: order.Start, Attempt: i.call.Attempt, Model: why.Model, Why: why})
+	s.orders = append(s.orders, order.Order{Kind: order.Start, Attempt: i.call.Attempt, Model: why.Model, Why: why})
 }
 
-// shed refuses the least urgent attempts that are over the bound of the queue.
-// It comes after start, so that nothing is refused that could have started.
-func (s *Sched) shed(now time.Time) {
+// shedQueue refuses the least urgent attempts above the queue limit. It runs after startQueued, so that no attempt is refused that
+// could start.
+func (s *Sched) shedQueue(now time.Time) {
 	for len(s.queue) > max(1, s.tune.Queue) {
 		worst := s.queue[0]
 		for _, i := range s.queue[1:] {
@@ -92,16 +91,16 @@
 				worst = i
 			}
 		}
-		s.refuse(worst, refuse.Overloaded, "the admission queue is full", s.turnover())
+		s.refuse(worst, refuse.Overloaded, "the admission queue is full", s.queueTurnover())
 	}
 }
 
-// turnover returns how long it takes until about one place in the queue comes free.
-func (s *Sched) turnover() time.Duration {
+// queueTurnover returns the approximate time until a place in the queue is free.
+func (s *Sched) queueTurnover() time.Duration {
 	if len(s.running) == 0 {
-		return s.load.value
+		return s.loadTime.value
 	}
-	return max(s.answer.value/time.Duration(len(s.running)), minRetry)
+	return max(s.answerTime.value/time.Duration(len(s.running)), minRetryAfter)
 }
 
-const minRetry = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	reportLag    = 30 * time.Second // reports tell nothing about changes younger than this
-	missingLimit = 3                // reports in a row without a model after which it is held gone
+	reportLag         = 30 * time.Second // reports may miss changes younger than this
+	maxMissingReports = 3                // consecutive reports without a model after which it counts as gone
 )
 
-// Report takes the engine's own account in. It is late, so this owner's knowledge goes before it,
-// except after a restart, which the engine alone knows of.
+// Report takes a report of the engine. It lags, so this owner's own state takes precedence, except after a restart, which only
+// the engine knows of.
 func (s *Sched) Report(now time.Time, r report.Report) []order.Order {
 	if r.Slots > 0 {
 		s.slots = r.Slots
@@ -24,27 +24,26 @@
 	}
 	switch {
 	case !s.known:
-		s.adopt(now, r.Resident, 0)
+		s.adoptResidents(now, r.Resident, 0)
 	case s.boot != r.Boot:
-		s.restart(r.Resident)
-		s.adopt(now, r.Resident, reportLag)
+		s.handleRestart(r.Resident)
+		s.adoptResidents(now, r.Resident, reportLag)
 	default:
-		s.adopt(now, r.Resident, reportLag)
-		s.miss(now, r.Resident)
+		s.adoptResidents(now, r.Resident, reportLag)
+		s.markMissing(now, r.Resident)
 	}
 	s.boot, s.known = r.Boot, true
-	s.foreign(r.Running)
+	s.countForeign(r.Running)
 	return s.plan(now)
 }
 
-// restart marks what a restarted engine does not list as lost. The report is late: requests may have started
-// and loads ended on the new start of the engine already. Dropping those would unload models in use and load into
-// taken slots, so attempts in progress stay until Finish, which comes for those that were cut as well,
-// and a lost model keeps its slot until its unload is confirmed.
-func (s *Sched) restart(listed []string) {
+// handleRestart marks models that a restarted engine does not list as lost. The report lags: since the restart, requests may have
+// started and loads ended. Dropping those would unload models in use and load into taken slots. So attempts in progress stay
+// until Finish, which also comes for those that were cut off, and a lost model keeps its slot until its unload is confirmed.
+func (s *Sched) handleRestart(listed []string) {
 	for _, m := range s.models {
 		m.pinned = false
-		m.foreign = 0
+		m.foreignRunning = 0
 	}
 	for _, m := range s.held {
 		switch {
@@ -57,62 +56,61 @@
 	}
 }
 
-// unloadLost frees the slots of lost models that nothing uses any more.
+// unloadLost frees the slots of lost models that are not in use.
 func (s *Sched) unloadLost(now time.Time) {
-	if now.Before(s.unloads) {
+	if now.Before(s.noUnloadBefore) {
 		return
 	}
 	for _, m := range s.held {
-		if !s.hold && m.state == resident && m.lost && m.running == 0 && !m.pinned {
+		if !s.unloadsHeld && m.state == resident && m.lost && m.running == 0 && !m.pinned {
 			s.orderUnload(now, m, "the engine does not list it any more")
 		}
 	}
 }
 
-// adopt takes residents over that this owner did not load, such as a former owner's.
-// A model that this owner unloaded less than age ago is not taken over: the report may be older than that.
-// It counts even where this owner holds every slot for taken, since one of its loads is then about to fail: passed over,
-// the slot would look free again after that failure and the owner would go on loading into a full engine.
-func (s *Sched) adopt(now time.Time, names []string, age time.Duration) {
+// adoptResidents adopts resident models that this owner did not load, such as a former owner's, but not those that it unloaded less than
+// lag ago: the report may be older. Models are adopted even if all slots count as taken, since one of the owner's loads is then
+// about to fail: otherwise the slot would look free after that failure, and the owner would go on loading into a full
+// engine.
+func (s *Sched) adoptResidents(now time.Time, names []string, lag time.Duration) {
 	for _, name := range names {
 		m := s.model(name)
-		if m.state == absent && now.Sub(m.changed) >= age {
-			s.turn(now, m, resident)
-			m.used = now
+		if m.state == absent && now.Sub(m.changedAt) >= lag {
+			s.setState(now, m, resident)
+			m.lastUsed = now
 			m.adopted = true
 		}
 	}
 }
 
-// miss marks residents as lost that several reports in a row do not list.
-// An engine that evicted a model by itself would otherwise fail every request for it.
-func (s *Sched) miss(now time.Time, names []string) {
+// markMissing marks resident models as lost that several consecutive reports do not list. If an engine evicted a model by itself,
+// every request for it would fail.
+func (s *Sched) markMissing(now time.Time, listed []string) {
 	for _, m := range s.held {
-		if m.state != resident || now.Sub(m.changed) < reportLag {
+		if m.state != resident || now.Sub(m.changedAt) < reportLag {
 			continue
 		}
-		if slices.Contains(names, m.name) {
-			m.missing = 0
+		if slices.Contains(listed, m.name) {
+			m.missingReports = 0
 			continue
 		}
-		m.missing++
-		m.lost = m.lost || m.missing >= missingLimit
+		m.missingReports++
+		m.lost = m.lost || m.missingReports >= maxMissingReports
 	}
 }
 
-// foreign notes requests on adopted models that the engine runs and this owner did not start.
-// They may be a former owner's, so their models are not unloaded. On models that this owner loaded itself
-// the difference is nothing but the lag of the report.
-func (s *Sched) foreign(running map[string]int) {
+// countForeign counts requests on adopted models that this owner did not start. They may be a former owner's, so the models
+// are not unloaded. On models that this owner loaded, the difference is only the lag of the report.
+func (s *Sched) countForeign(running map[string]int) {
 	for _, m := range s.held {
-		m.foreign = 0
+		m.foreignRunning = 0
 		if m.adopted {
-			m.foreign = max(0, running[m.name]-m.running)
+			m.foreignRunning = max(0, running[m.name]-m.running)
 		}
 	}
 }
 
-// Pin keeps a model from being unloaded: a former owner's requests may still use it.
+// Pin keeps a model from being unloaded: requests of a former owner may still use it.
 func (s *Sched) Pin(name string) []order.Order {
 	s.model(name).pinned = true
 	return nil
--- a/internal/sched/rules_test.go
+++ b/internal/sched/rules_test.go
@@ -10,34 +10,33 @@
 	"damaskreach/internal/order"
 )
 
-// The seed is fixed so that every run tries the same sequences; -rapid.seed tries others.
+// The seed is fixed so that all runs try the same sequences; -rapid.seed tries others.
 func init() {
 	if err := flag.Set("rapid.seed", "20260302"); err != nil {
 		panic(err)
 	}
 }
 
-// Any event may come at any moment. An order that breaks a rule would reach callers as an answer of the wrong
-// adapter, a stream cut off by an unload, a request that ran twice, or one that never got an answer.
-func TestEveryOrderKeepsTheRules(t *testing.T) {
+// Any event may come at any time. An order that violates an invariant leads to an answer of the wrong adapter, a stream cut off by
+// an unload, a request that runs twice, or one without an answer.
+func TestOrdersKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newReferee(t)
+		r := newChecker(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			r.act()
+			r.step()
 		}
-		r.settle()
+		r.drainQueue()
 	})
 }
 
-// Decisions that depend on the order of a map cannot be replayed, and an operator who asks why one was taken
-// gets the reasons of another.
-func TestEqualEventsGiveEqualOrders(t *testing.T) {
+// Decisions that depend on the map order cannot be replayed, and would show an operator the reasons of others.
+func TestOrdersAreDeterministic(t *testing.T) {
 	run := func(seed int) []order.Order {
 		var log []order.Order
 		sample := rapid.Custom(func(t *rapid.T) []order.Order {
-			r := newReferee(t)
+			r := newChecker(t)
 			for range 150 {
-				r.act()
+				r.step()
 			}
 			return r.log
 		})
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -15,25 +15,25 @@
 	"damaskreach/pkg/verd"
 )
 
-var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
 func at(after time.Duration) time.Time {
-	return start.Add(after)
+	return startTime.Add(after)
 }
 
-// booted returns a scheduler whose engine has reported, with nothing resident.
-func booted(slots, batch int, tu tune.Tune) *sched.Sched {
+// newReported returns a scheduler whose engine has reported no resident models.
+func newReported(slots, batch int, tu tune.Tune) *sched.Sched {
 	s := sched.NewSched(runner.Runner{Name: "r1", Group: "g", Slots: slots, Batch: batch}, tu)
-	s.Report(start, report.Report{At: start, Boot: "b1", Slots: slots, Batch: batch})
+	s.Report(startTime, report.Report{At: startTime, Boot: "b1", Slots: slots, Batch: batch})
 	return s
 }
 
-func ask(attempt, adapter string) call.Call {
+func newCall(attempt, adapter string) call.Call {
 	return call.Call{Attempt: attempt, Tenant: "t", Adapter: adapter, Version: "1", Group: "g", Tokens: 10}
 }
 
-// kinds returns the orders of one kind.
-func kinds(orders []order.Order, kind string) []order.Order {
+// ofKind returns the orders of one kind.
+func ofKind(orders []order.Order, kind string) []order.Order {
 	var found []order.Order
 	for _, o := range orders {
 		if o.Kind == kind {
@@ -44,16 +44,16 @@
 }
 
 func TestStartsOnceTheModelIsResident(t *testing.T) {
-	s := booted(1, 4, tune.Default())
-	orders := s.Submit(at(0), ask("a1", "red"))
-	if got, want := len(kinds(orders, order.Load)), 1; got != want {
+	s := newReported(1, 4, tune.Default())
+	orders := s.Submit(at(0), newCall("a1", "red"))
+	if got, want := len(ofKind(orders, order.Load)), 1; got != want {
 		t.Fatalf("loads after the submit: got %d, want %d", got, want)
 	}
-	if got, want := len(kinds(orders, order.Start)), 0; got != want {
+	if got, want := len(ofKind(orders, order.Start)), 0; got != want {
 		t.Fatalf("starts before the load: got %d, want %d", got, want)
 	}
 	orders = s.Loaded(at(time.Second), "red@1", nil)
-	if got, want := len(kinds(orders, order.Start)), 1; got != want {
+	if got, want := len(ofKind(orders, order.Start)), 1; got != want {
 		t.Fatalf("starts after the load: got %d, want %d", got, want)
 	}
 	if got, want := s.InUse("red@1"), 1; got != want {
@@ -61,14 +61,14 @@
 	}
 }
 
-// An adapter's weights are damaged in the store, so that each load fails. Callers would notice
-// requests that hang until their timeout, though the node has known for long that nothing will come of them.
-func TestFailedLoadsAreGivenUpAtOnce(t *testing.T) {
-	s := booted(2, 4, tune.Default())
-	s.Submit(at(0), ask("a1", "red"))
+// An adapter's weights are damaged in the store, so all its loads fail. Its requests must be refused after a few tries, not hang
+// until they time out.
+func TestFailingLoadsAreGivenUp(t *testing.T) {
+	s := newReported(2, 4, tune.Default())
+	s.Submit(at(0), newCall("a1", "red"))
 	now := time.Duration(0)
 	for try := 1; ; try++ {
-		refused := kinds(s.Loaded(at(now), "red@1", errors.New("checksum")), order.Refuse)
+		refused := ofKind(s.Loaded(at(now), "red@1", errors.New("checksum")), order.Refuse)
 		if len(refused) == 1 {
 			if got, want := refused[0].Refusal.Code, refuse.LoadFailed; got != want {
 				t.Errorf("code: got %q, want %q", got, want)
@@ -77,7 +77,7 @@
 				t.Errorf("verdict: got %v, want %v", got, want)
 			}
 			if refused[0].Refusal.Retry <= 0 {
-				t.Errorf("retry: got %v, want when to come back", refused[0].Refusal.Retry)
+				t.Errorf("retry: got %v, want a retry time", refused[0].Refusal.Retry)
 			}
 			if try < 2 || try > 5 {
 				t.Errorf("tries: got %d, want a few", try)
@@ -87,42 +87,42 @@
 		if try > 5 {
 			t.Fatal("the attempt was still queued after 5 failed loads")
 		}
-		for len(kinds(s.Tick(at(now)), order.Load)) == 0 {
+		for len(ofKind(s.Tick(at(now)), order.Load)) == 0 {
 			now += 50 * time.Millisecond
 		}
 	}
 }
 
-// An engine crashes and comes back empty. A node that still held its adapters resident
-// would send requests that fail or, worse, run on the base model.
-func TestColdStartForgetsResidents(t *testing.T) {
-	s := booted(1, 4, tune.Default())
-	s.Submit(at(0), ask("a1", "red"))
+// An engine crashes and restarts empty. If its adapters still counted as resident, requests would fail or run on the base
+// model.
+func TestEngineRestartDropsResidents(t *testing.T) {
+	s := newReported(1, 4, tune.Default())
+	s.Submit(at(0), newCall("a1", "red"))
 	s.Loaded(at(time.Second), "red@1", nil)
 	s.Report(at(2*time.Second), report.Report{Boot: "b2", Slots: 1, Batch: 4})
-	orders := s.Submit(at(2*time.Second), ask("a2", "red"))
+	orders := s.Submit(at(2*time.Second), newCall("a2", "red"))
 	orders = append(orders, s.Finish(at(3*time.Second), "a1", 0)...)
-	if got, want := len(kinds(orders, order.Unload)), 1; got != want {
-		t.Errorf("unloads that settle what the slot holds: got %d, want %d", got, want)
+	if got, want := len(ofKind(orders, order.Unload)), 1; got != want {
+		t.Errorf("unloads of the lost model: got %d, want %d", got, want)
 	}
-	if got, want := len(kinds(orders, order.Start)), 0; got != want {
+	if got, want := len(ofKind(orders, order.Start)), 0; got != want {
 		t.Errorf("starts without the adapter: got %d, want %d", got, want)
 	}
 	orders = s.Unloaded(at(3*time.Second), "red@1", nil)
-	if got, want := len(kinds(orders, order.Load)), 1; got != want {
+	if got, want := len(ofKind(orders, order.Load)), 1; got != want {
 		t.Errorf("loads: got %d, want %d", got, want)
 	}
 }
 
-// The report of a restart comes late: by then a request has started on an adapter that was loaded after it.
-// Taken for one of before, its adapter would be unloaded under it and its caller's answer cut off.
-func TestLateReportOfARestartCutsNothing(t *testing.T) {
-	s := booted(1, 4, tune.Default())
-	s.Submit(at(0), ask("a1", "red"))
+// The report of a restart arrives after a request has started on an adapter loaded since. If that adapter counts as lost, its
+// unload cuts the answer off.
+func TestLateRestartReportCutsNoRequest(t *testing.T) {
+	s := newReported(1, 4, tune.Default())
+	s.Submit(at(0), newCall("a1", "red"))
 	s.Loaded(at(time.Second), "red@1", nil)
 	s.Report(at(2*time.Second), report.Report{Boot: "b2", Slots: 1, Batch: 4})
-	orders := s.Submit(at(10*time.Second), ask("a2", "blue"))
-	if got, want := len(kinds(orders, order.Unload)), 0; got != want {
+	orders := s.Submit(at(10*time.Second), newCall("a2", "blue"))
+	if got, want := len(ofKind(orders, order.Unload)), 0; got != want {
 		t.Errorf("unloads of a model in use: got %d, want %d", got, want)
 	}
 	if got, want := s.InUse("red@1"), 1; got != want {
@@ -130,31 +130,31 @@
 	}
 }
 
-// Before the engine has reported, its slots may hold anything. A load into one that is taken fails or, on some
-// engines, pushes a model out that a former owner's request still uses.
+// Before the first report the slots of an engine may hold anything. A load into a taken slot fails or, on some engines, evicts a
+// model that a former owner's request still uses.
 func TestNothingIsLoadedBeforeTheFirstReport(t *testing.T) {
 	s := sched.NewSched(runner.Runner{Name: "r1", Group: "g", Slots: 1, Batch: 4}, tune.Default())
-	orders := append(s.Submit(at(0), ask("a1", "red")), s.Tick(at(time.Second))...)
+	orders := append(s.Submit(at(0), newCall("a1", "red")), s.Tick(at(time.Second))...)
 	if got, want := len(orders), 0; got != want {
 		t.Fatalf("orders before the report: got %v, want none", orders)
 	}
 	s.Pin("blue@1")
 	orders = s.Report(at(time.Second), report.Report{Resident: []string{"blue@1"}, Slots: 1, Batch: 4})
-	if got, want := len(kinds(orders, order.Unload)), 0; got != want {
+	if got, want := len(ofKind(orders, order.Unload)), 0; got != want {
 		t.Fatalf("unloads of a pinned model: got %d, want %d", got, want)
 	}
-	if got, want := len(kinds(s.Unpin("blue@1"), order.Unload)), 1; got != want {
+	if got, want := len(ofKind(s.Unpin("blue@1"), order.Unload)), 1; got != want {
 		t.Errorf("unloads after the pin: got %d, want %d", got, want)
 	}
 }
 
-// A runner is handed over while requests are queued. Left in the queue, they would wait for an owner
-// that starts nothing any more, and their callers until the deadline.
-func TestCloseAnswersTheQueueAtOnce(t *testing.T) {
-	s := booted(1, 1, tune.Default())
-	s.Submit(at(0), ask("a1", "red"))
-	refused := kinds(s.Close(at(0), "the runner was handed over"), order.Refuse)
-	refused = append(refused, kinds(s.Submit(at(0), ask("a2", "red")), order.Refuse)...)
+// A runner is handed over while requests are queued. They must be refused at once, not wait until their deadlines for an owner
+// that starts nothing any more.
+func TestCloseRefusesQueueAtOnce(t *testing.T) {
+	s := newReported(1, 1, tune.Default())
+	s.Submit(at(0), newCall("a1", "red"))
+	refused := ofKind(s.Close(at(0), "the runner was handed over"), order.Refuse)
+	refused = append(refused, ofKind(s.Submit(at(0), newCall("a2", "red")), order.Refuse)...)
 	if got, want := len(refused), 2; got != want {
 		t.Fatalf("refusals: got %d, want %d", got, want)
 	}
--- a/internal/sched/share_test.go
+++ b/internal/sched/share_test.go
@@ -11,24 +11,24 @@
 	"damaskreach/pkg/refuse"
 )
 
-// ready returns a scheduler that has a model resident and a request for it in progress.
-func ready(batch int, tu tune.Tune) *sched.Sched {
-	s := booted(2, batch, tu)
-	s.Submit(at(0), ask("first", "red"))
+// newBusy returns a scheduler with a resident model and a request for it in progress.
+func newBusy(batch int, tu tune.Tune) *sched.Sched {
+	s := newReported(2, batch, tu)
+	s.Submit(at(0), newCall("first", "red"))
 	s.Loaded(at(0), "red@1", nil)
 	return s
 }
 
-// One tenant fills the queue. Served in order of arrival, the others would wait behind all of its requests.
+// One tenant fills the queue. In order of arrival the others would wait behind all of its requests.
 func TestTenantsShareByWeight(t *testing.T) {
 	tu := tune.Default()
 	tu.Queue = 1000
-	s := ready(1, tu)
-	s.Weigh("big", 3)
-	s.Weigh("small", 1)
+	s := newBusy(1, tu)
+	s.SetWeight("big", 3)
+	s.SetWeight("small", 1)
 	for n := range 200 {
 		for _, tenant := range []string{"big", "small"} {
-			c := ask(fmt.Sprint(tenant, n), "red")
+			c := newCall(fmt.Sprint(tenant, n), "red")
 			c.Tenant = tenant
 			s.Submit(at(0), c)
 		}
@@ -36,7 +36,7 @@
 	starts := map[string]int{}
 	running := "first"
 	for range 100 {
-		orders := kinds(s.Finish(at(0), running, 10), order.Start)
+		orders := ofKind(s.Finish(at(0), running, 10), order.Start)
 		if len(orders) != 1 {
 			t.Fatalf("starts after a finish: got %d, want 1", len(orders))
 		}
@@ -49,29 +49,28 @@
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	s := ready(1, tune.Default())
-	s.Submit(at(0), ask("low", "red"))
-	urgent := ask("high", "red")
+	s := newBusy(1, tune.Default())
+	s.Submit(at(0), newCall("low", "red"))
+	urgent := newCall("high", "red")
 	urgent.Priority = 1
 	s.Submit(at(0), urgent)
-	starts := kinds(s.Finish(at(time.Second), "first", 10), order.Start)
+	starts := ofKind(s.Finish(at(time.Second), "first", 10), order.Start)
 	if len(starts) != 1 || starts[0].Attempt != "high" {
 		t.Errorf("started first: got %v, want high", starts)
 	}
 }
 
-// A deadline passes while a request is queued. Its caller can still act on an answer that comes before;
-// one that comes at the deadline or after it is of no use.
+// A request is queued until its deadline passes. The refusal must come while its caller can still act on it.
 func TestHopelessDeadlineIsRefusedEarly(t *testing.T) {
-	s := ready(1, tune.Default())
-	c := ask("late", "red")
+	s := newBusy(1, tune.Default())
+	c := newCall("late", "red")
 	c.Tokens = 1000
 	c.Deadline = at(20 * time.Second)
-	if refused := kinds(s.Submit(at(0), c), order.Refuse); len(refused) != 0 {
+	if refused := ofKind(s.Submit(at(0), c), order.Refuse); len(refused) != 0 {
 		t.Fatalf("refusals while there is time: got %v, want none", refused)
 	}
 	for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
-		refused := kinds(s.Tick(at(now)), order.Refuse)
+		refused := ofKind(s.Tick(at(now)), order.Refuse)
 		if len(refused) == 0 {
 			continue
 		}
@@ -86,15 +85,15 @@
 	t.Error("the request was never refused")
 }
 
-// The queue is full of requests that wait for a load. One for a resident model could start at once;
-// refused for the full queue, its caller would be turned away from a free engine.
+// The queue is full of requests that wait for a load. A request for a resident model could start at once and must not be
+// refused.
 func TestFullQueueRefusesNothingThatCanStart(t *testing.T) {
 	tu := tune.Default()
 	tu.Queue = 3
-	s := ready(4, tu)
+	s := newBusy(4, tu)
 	var refused []order.Order
 	for n := range 5 {
-		refused = append(refused, kinds(s.Submit(at(0), ask(fmt.Sprint("cold", n), "blue")), order.Refuse)...)
+		refused = append(refused, ofKind(s.Submit(at(0), newCall(fmt.Sprint("cold", n), "blue")), order.Refuse)...)
 	}
 	if got, want := len(refused), 2; got != want {
 		t.Fatalf("refusals over the bound: got %d, want %d", got, want)
@@ -102,32 +101,31 @@
 	if got, want := refused[0].Refusal.Code, refuse.Overloaded; got != want {
 		t.Errorf("code: got %q, want %q", got, want)
 	}
-	orders := s.Submit(at(0), ask("warm", "red"))
-	if got, want := len(kinds(orders, order.Start)), 1; got != want {
+	orders := s.Submit(at(0), newCall("warm", "red"))
+	if got, want := len(ofKind(orders, order.Start)), 1; got != want {
 		t.Errorf("starts of the one that fits: got %d, want %d", got, want)
 	}
-	if got, want := len(kinds(orders, order.Refuse)), 0; got != want {
+	if got, want := len(ofKind(orders, order.Refuse)), 0; got != want {
 		t.Errorf("refusals: got %d, want %d", got, want)
 	}
 }
 
-// Every slot is taken by a model in constant use. A rare model would never get one,
-// and its urgent request would wait for ever.
+// All slots hold models in constant use. The request for a rare model would wait for ever.
 func TestRareModelGetsASlotFromBusyOnes(t *testing.T) {
-	s := booted(1, 4, tune.Default())
-	s.Submit(at(0), ask("hot0", "red"))
+	s := newReported(1, 4, tune.Default())
+	s.Submit(at(0), newCall("hot0", "red"))
 	s.Loaded(at(0), "red@1", nil)
-	s.Submit(at(0), ask("rare", "blue"))
+	s.Submit(at(0), newCall("rare", "blue"))
 	running := "hot0"
 	for n := 1; n < 100; n++ {
 		now := at(time.Duration(n) * 200 * time.Millisecond)
-		c := ask(fmt.Sprint("hot", n), "red")
+		c := newCall(fmt.Sprint("hot", n), "red")
 		orders := s.Submit(now, c)
 		orders = append(orders, s.Finish(now, running, 10)...)
-		if len(kinds(orders, order.Unload)) > 0 {
+		if len(ofKind(orders, order.Unload)) > 0 {
 			return
 		}
-		if len(kinds(orders, order.Start)) > 0 {
+		if len(ofKind(orders, order.Start)) > 0 {
 			running = c.Attempt
 		}
 	}
--- a/internal/sched/victim.go
+++ b/internal/sched/victim.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// victim returns the idle model that is cheapest to lose, or nil.
-func (s *Sched) victim(now time.Time) *model {
-	if s.hold {
+// chooseVictim returns the idle model that costs the least to unload, or nil.
+func (s *Sched) chooseVictim(now time.Time) *model {
+	if s.unloadsHeld {
 		return nil
 	}
 	var best *model
 	for _, m := range s.held {
-		if !m.idle() || m.waiting > 0 && !m.drain {
+		if !m.evictable() || m.waiting > 0 && !m.draining {
 			continue
 		}
 		if best == nil || s.cheaper(now, m, best) {
@@ -19,47 +19,47 @@
 	return best
 }
 
-// cheaper reports whether losing m costs less than losing other.
+// cheaper reports whether unloading m costs less than unloading other.
 func (s *Sched) cheaper(now time.Time, m, other *model) bool {
-	if m.drain != other.drain {
-		return m.drain
+	if m.draining != other.draining {
+		return m.draining
 	}
-	if s.lastKept(m) != s.lastKept(other) {
-		return s.lastKept(other)
+	if s.isLastKept(m) != s.isLastKept(other) {
+		return s.isLastKept(other)
 	}
 	if !s.policy.Demand {
-		return m.used.Before(other.used)
+		return m.lastUsed.Before(other.lastUsed)
 	}
-	return s.worth(now, m) < s.worth(now, other)
+	return s.evictionCost(now, m) < s.evictionCost(now, other)
 }
 
-// copyShare is what is left of a model's worth where another runner has it too: the other copy serves most of
-// its requests meanwhile.
-const copyShare = 0.2
+// copiedCostShare is the share of the eviction cost that is left if another runner has the model too: that serves most of the
+// requests.
+const copiedCostShare = 0.2
 
-// worth returns the decayed count of requests that losing a model would hurt.
-func (s *Sched) worth(now time.Time, m *model) float64 {
+// evictionCost returns the decayed count of requests that unloading a model would affect.
+func (s *Sched) evictionCost(now time.Time, m *model) float64 {
 	count := m.demand.At(now, s.tune.HalfLife)
 	if s.policy.Copies && s.copies[m.name] > 1 {
-		count *= copyShare
+		count *= copiedCostShare
 	}
 	return count
 }
 
-// Copies tells how many runners have each model resident, this one included, as the digests show it.
-// It only makes better choices: nothing goes wrong where it is late or never called.
-func (s *Sched) Copies(counts map[string]int) {
+// SetCopies sets how many runners have each model resident, this one included. It only improves choices: late or missing
+// updates do no harm.
+func (s *Sched) SetCopies(counts map[string]int) {
 	s.copies = counts
 }
 
-// leastUsed returns the model in use whose requests in progress are fewest, or nil.
-func (s *Sched) leastUsed() *model {
-	if s.hold {
+// leastBusy returns the resident model with the fewest requests in progress, or nil.
+func (s *Sched) leastBusy() *model {
+	if s.unloadsHeld {
 		return nil
 	}
 	var best *model
 	for _, m := range s.held {
-		if m.state != resident || m.lost || m.pinned || m.foreign > 0 {
+		if m.state != resident || m.lost || m.pinned || m.foreignRunning > 0 {
 			continue
 		}
 		if best == nil || m.running < best.running {
@@ -69,10 +69,10 @@
 	return best
 }
 
-// draining reports whether a model is already being drained.
-func (s *Sched) draining() bool {
+// anyDraining reports whether a model is being drained.
+func (s *Sched) anyDraining() bool {
 	for _, m := range s.held {
-		if m.drain && m.state == resident {
+		if m.draining && m.state == resident {
 			return true
 		}
 	}
