--- a/internal/edge/upstream.go
+++ b/internal/edge/addrs.go
@@ -1,7 +1,7 @@
 package edge
 
-// upstreams returns the addresses of the upstreams that there are.
-func (e *Edge) upstreams() []string {
+// upstreamAddrs returns the distinct addresses of the upstreams.
+func (e *Edge) upstreamAddrs() []string {
 	v := e.intake.View()
 	seen := make(map[string]bool, len(v.Targets))
 	addrs := make([]string, 0, len(v.Targets))
--- a/internal/edge/brittle_test.go
+++ b/internal/edge/brittle_test.go
@@ -21,81 +21,82 @@
 )
 
 const (
-	headBrittle = "Fake-Brittle" // how many requests a second the upstream may turn away
-	headFull    = "Fake-Full"    // the upstream had no room
-	// brittleHosts and brittleUpstreams are a site's hosts and its brittle upstreams, of which each runs brittleSlots requests at once for brittleTakes, lets
-	// brittleQueue more wait, fewer once it is brittle, and falls over for brittleDown once it has turned brittleMost away within a second.
+	headBrittle = "Fake-Brittle" // rejections a second that the upstream tolerates
+	headFull    = "Fake-Full"    // the upstream was full
+	// A site has brittleHosts hosts and brittleUpstreams upstreams. Each upstream runs brittleSlots requests at once for brittleServiceTime
+	// and queues brittleQueue more, none once it is brittle. It crashes for brittleDownTime after more than brittleMaxRejections in a
+	// second.
 	brittleHosts, brittleUpstreams = 18, 4
 	brittleSlots, brittleQueue     = 6, 4
-	brittleTakes                   = 120 * time.Millisecond
-	brittleMost                    = 5
-	brittleDown                    = 4 * time.Second
-	// brittleKnown is from when on it may be expected that hosts heed that an upstream is brittle.
-	brittleKnown = 3 * time.Second
-	// mostFalls is how often brittle upstreams may fall over all the same: 2 and a tenth of their number.
-	mostFalls = 2
-	// brittleServed is the part of what the upstreams can run that is served while more is asked for.
-	brittleServed = 0.85
+	brittleServiceTime             = 120 * time.Millisecond
+	brittleMaxRejections           = 5
+	brittleDownTime                = 4 * time.Second
+	// brittleNoticeTime is how long hosts may take to respect that an upstream is brittle.
+	brittleNoticeTime = 3 * time.Second
+	// maxCrashes is how often brittle upstreams may crash all the same: 2 and a tenth of their number.
+	maxCrashes = 2
+	// minBrittleServed is the part of the upstreams' capacity that must be served under overload.
+	minBrittleServed = 0.85
 )
 
-// glass is an upstream that may fall over.
-type glass struct {
-	running int
-	away    []time.Time // when it turned requests away
-	until   time.Time   // it has fallen over
-	falls   []time.Time
-	served  []time.Time
+// brittleUpstream is an upstream that may crash.
+type brittleUpstream struct {
+	running    int
+	rejectedAt []time.Time
+	downUntil  time.Time
+	crashes    []time.Time
+	servedAt   []time.Time
 }
 
-// glasses are the upstreams of a fleet.
-type glasses struct {
-	mu      sync.Mutex
-	brittle time.Time // since when they are; zero while they are not
-	of      map[string]*glass
+// brittleGroup is the upstreams of a fleet.
+type brittleGroup struct {
+	mu           sync.Mutex
+	brittleSince time.Time // zero while they are not brittle
+	byID         map[string]*brittleUpstream
 }
 
-// enter takes a request in; ok is false where it is turned away, and down where the upstream has fallen over.
-func (g *glasses) enter(id string) (one *glass, ok, down bool) {
+// admit accepts a request; ok is false if it is rejected, and down is true if the upstream has crashed.
+func (g *brittleGroup) admit(id string) (one *brittleUpstream, ok, down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	one = g.of[id]
+	one = g.byID[id]
 	if one == nil {
-		one = &glass{}
-		g.of[id] = one
+		one = &brittleUpstream{}
+		g.byID[id] = one
 	}
 	now, queue := time.Now(), brittleQueue
-	if now.Before(one.until) {
+	if now.Before(one.downUntil) {
 		return one, false, true
 	}
-	if g.is() && now.Sub(g.brittle) >= brittleKnown {
+	if g.isBrittle() && now.Sub(g.brittleSince) >= brittleNoticeTime {
 		queue = 0
 	}
 	if one.running < brittleSlots+queue {
 		one.running++
 		return one, true, false
 	}
-	one.away = append(one.away, now)
+	one.rejectedAt = append(one.rejectedAt, now)
 	recent := 0
-	for _, at := range one.away {
+	for _, at := range one.rejectedAt {
 		if now.Sub(at) < time.Second {
 			recent++
 		}
 	}
-	if g.is() && now.Sub(g.brittle) >= brittleKnown && recent > brittleMost {
-		one.until, one.away = now.Add(brittleDown), nil
-		one.falls = append(one.falls, now)
+	if g.isBrittle() && now.Sub(g.brittleSince) >= brittleNoticeTime && recent > brittleMaxRejections {
+		one.downUntil, one.rejectedAt = now.Add(brittleDownTime), nil
+		one.crashes = append(one.crashes, now)
 	}
 	return one, false, false
 }
 
-func (g *glasses) is() bool { return !g.brittle.IsZero() }
+func (g *brittleGroup) isBrittle() bool { return !g.brittleSince.IsZero() }
 
-func (g *glasses) serve(w http.ResponseWriter, r *http.Request) {
-	one, ok, down := g.enter(r.Header.Get(headFor))
+func (g *brittleGroup) serve(w http.ResponseWriter, r *http.Request) {
+	one, ok, down := g.admit(r.Header.Get(headFor))
 	w.Header().Set(headID, r.Header.Get(headID))
 	g.mu.Lock()
-	if g.is() {
-		w.Header().Set(headBrittle, strconv.Itoa(brittleMost))
+	if g.isBrittle() {
+		w.Header().Set(headBrittle, strconv.Itoa(brittleMaxRejections))
 	}
 	g.mu.Unlock()
 	if !ok || down {
@@ -103,47 +104,47 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	<-time.After(brittleTakes)
+	<-time.After(brittleServiceTime)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	one.running--
-	one.served = append(one.served, time.Now())
+	one.servedAt = append(one.servedAt, time.Now())
 }
 
-// fell returns how often upstreams fell over, and how many requests they served, from a time on.
-func (g *glasses) fell(from time.Time) (falls, served int) {
+// countSince returns how often upstreams crashed and how many requests they served since a time.
+func (g *brittleGroup) countSince(from time.Time) (crashes, served int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, one := range g.of {
-		for _, at := range one.falls {
+	for _, one := range g.byID {
+		for _, at := range one.crashes {
 			if at.After(from) {
-				falls++
+				crashes++
 			}
 		}
-		for _, at := range one.served {
+		for _, at := range one.servedAt {
 			if at.After(from) {
 				served++
 			}
 		}
 	}
-	return falls, served
+	return crashes, served
 }
 
-// Upstreams that serve bookings say that they are brittle, and callers ask for more than they can run. Sent there all the same, requests are turned away so often that
-// the upstreams fall over, one after the other.
-func TestBrittleUpstreamsDoNotFallOverByOurLoad(t *testing.T) {
-	for name, share := range map[string]float64{"half of what they run": 0.5, "twice what they run": 2} {
+// Upstreams announce that they are brittle, and callers ask for more than they can run. If hosts sent it all, the upstreams would reject so
+// many requests that they crash one after the other.
+func TestBrittleUpstreamsDoNotCrashUnderLoad(t *testing.T) {
+	for name, share := range map[string]float64{"half of their capacity": 0.5, "twice their capacity": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &glasses{of: map[string]*glass{}}
-				p := newPayersOf(t, brittleHosts, 3, brittleUpstreams, unlimited, func(e *edge.Edge, _ *setup.Setup) {
-					e.Target = func(row rows.Row) (target.Target, error) {
+				g := &brittleGroup{byID: map[string]*brittleUpstream{}}
+				p := newTeamFleetOf(t, brittleHosts, 3, brittleUpstreams, unlimitedTeams, func(e *edge.Edge, _ *setup.Setup) {
+					e.DecodeTarget = func(row rows.Row) (target.Target, error) {
 						id := strings.TrimPrefix(row.Key, "servers/")
 						n, err := strconv.Atoi(strings.TrimPrefix(id, "u"))
-						return target.Target{ID: id, Group: "g", Addr: apartAddr(n), Slots: brittleSlots}, err
+						return target.Target{ID: id, Group: "g", Addr: separateAddr(n), Slots: brittleSlots}, err
 					}
 					e.NotRun = func(_ int, h http.Header) bool { return h.Get(headFull) != "" }
-					e.Notice = func(_ int, h http.Header) (n notice.Notice, err error) {
+					e.DecodeNotice = func(_ int, h http.Header) (n notice.Notice, err error) {
 						if text := h.Get(headBrittle); text != "" {
 							n.Brittle, err = strconv.Atoi(text)
 						}
@@ -151,30 +152,30 @@
 					}
 				})
 				for n := range brittleUpstreams {
-					p.serveAt(t, apartAddr(n), g.serve)
+					p.serveAt(t, separateAddr(n), g.serve)
 				}
 				time.Sleep(14 * time.Second)
-				run := brittleUpstreams * brittleSlots / brittleTakes.Seconds()
+				run := brittleUpstreams * brittleSlots / brittleServiceTime.Seconds()
 				ctx, cancel := context.WithCancel(t.Context())
 				t.Cleanup(cancel)
-				p.load(ctx, 9, "red", run*0.3, func(*rand.Rand) int { return shortPrompt })
+				p.generateLoad(ctx, 9, "red", run*0.3, func(*rand.Rand) int { return shortPrompt })
 				time.Sleep(3 * time.Second)
 				g.mu.Lock()
-				g.brittle = time.Now()
+				g.brittleSince = time.Now()
 				g.mu.Unlock()
-				time.Sleep(brittleKnown)
-				begun := time.Now()
-				p.load(ctx, 10, "red", run*(share-0.3), func(*rand.Rand) int { return shortPrompt })
+				time.Sleep(brittleNoticeTime)
+				start := time.Now()
+				p.generateLoad(ctx, 10, "red", run*(share-0.3), func(*rand.Rand) int { return shortPrompt })
 				time.Sleep(8 * time.Second)
-				falls, served := g.fell(begun)
+				crashes, served := g.countSince(start)
 				cancel()
 				time.Sleep(2 * time.Second)
-				t.Logf("%d falls, %d served in 8 s", falls, served)
-				if falls > mostFalls {
-					t.Errorf("brittle upstreams fell over %d times, want %d at most", falls, mostFalls)
+				t.Logf("%d crashes, %d served in 8 s", crashes, served)
+				if crashes > maxCrashes {
+					t.Errorf("brittle upstreams crashed %d times, want %d at most", crashes, maxCrashes)
 				}
-				if want := int(brittleServed * min(1, share) * run * 8); served < want {
-					t.Errorf("%d requests were served in 8 s, want %d at least of what the upstreams run", served, want)
+				if want := int(minBrittleServed * min(1, share) * run * 8); served < want {
+					t.Errorf("%d requests were served in 8 s, want at least %d of the upstreams' capacity", served, want)
 				}
 			})
 		})
--- a/internal/edge/callers_test.go
+++ b/internal/edge/callers_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// ask sends one request of a team to a host.
-func (p *payers) ask(client *http.Client, luck uint64, host, name string, units int) {
-	id := fmt.Sprintf("%s-%x", name, luck)
-	begun := time.Now()
+// sendRequest sends one request of a team to a host.
+func (p *teamFleet) sendRequest(client *http.Client, nonce uint64, host, name string, units int) {
+	id := fmt.Sprintf("%s-%x", name, nonce)
+	start := time.Now()
 	p.mu.Lock()
-	p.sent[id] = begun
+	p.sentAt[id] = start
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(p.ctx, 1500*time.Millisecond)
 	defer cancel()
@@ -37,19 +37,21 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.said = append(p.said, said{sent: begun, host: host, team: name, units: float64(units), status: status, took: time.Since(begun)})
+	p.results = append(p.results, callResult{
+		sent: start, host: host, team: name, units: float64(units), status: status, took: time.Since(start),
+	})
 }
 
-// load has callers of a team ask at a rate until ctx ends, each request at any host.
-func (p *payers) load(ctx context.Context, seed uint64, name string, perSecond float64, units func(luck *rand.Rand) int) {
-	luck := rand.New(rand.NewPCG(seed, 31))
-	p.call(ctx, luck, perSecond, func(client *http.Client) {
-		go p.ask(client, luck.Uint64(), p.hosts[luck.IntN(len(p.hosts))], name, units(luck))
+// generateLoad sends requests of a team at a rate until ctx ends, each to a random host.
+func (p *teamFleet) generateLoad(ctx context.Context, seed uint64, name string, perSecond float64, units func(rng *rand.Rand) int) {
+	rng := rand.New(rand.NewPCG(seed, 31))
+	p.callAtRate(ctx, rng, perSecond, func(client *http.Client) {
+		go p.sendRequest(client, rng.Uint64(), p.hosts[rng.IntN(len(p.hosts))], name, units(rng))
 	})
 }
 
-// call calls ask at a rate until ctx ends, with a client that all requests share.
-func (p *payers) call(ctx context.Context, luck *rand.Rand, perSecond float64, ask func(client *http.Client)) {
+// callAtRate calls ask at a rate until ctx ends, with a client that all requests share.
+func (p *teamFleet) callAtRate(ctx context.Context, rng *rand.Rand, perSecond float64, ask func(client *http.Client)) {
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:     func(ctx context.Context, _, addr string) (net.Conn, error) { return p.net.Dial(callerIP)(ctx, addr) },
 		IdleConnTimeout: time.Second,
@@ -59,7 +61,7 @@
 		for ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(luck.ExpFloat64() / perSecond * float64(time.Second))):
+			case <-time.After(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))):
 				ask(client)
 			}
 		}
--- a/internal/edge/detour.go
+++ b/internal/edge/detour.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	// mostByway is how many other hosts one sends its connections by: few, so that it keeps few connections to hosts; several, so that none of them
-	// carries all. Each host has others.
-	mostByway = 4
-	// triesByway is how many of them are asked for one connection.
-	triesByway = 2
-	// passShare is the part of the process's descriptors that connections for others may take.
-	passShare = 2
+	// maxDetourHosts is how many other hosts one uses for detours: few, to keep few connections between hosts; several, to spread the load.
+	// Each host uses different ones.
+	maxDetourHosts = 4
+	// detourAttempts is how many of them are asked for one connection.
+	detourAttempts = 2
+	// forwardFilesDivisor limits connections for other hosts to 1/forwardFilesDivisor of the process's file descriptors.
+	forwardFilesDivisor = 2
 )
 
-// errAlone means that no other host is known to reach upstreams.
-var errAlone = merry.Sentinel("edge: no other host reaches upstreams")
+// errNoDetour means that no other host is known to reach upstreams.
+var errNoDetour = merry.Sentinel("edge: no other host reaches upstreams")
 
-// connect opens a connection to an upstream: of this host's own, or where that is not to be had one by way of another host. A host may lose its way
-// to upstreams while callers still reach it; its callers would be refused while others are served.
+// connect opens a connection to an upstream, directly or, if that fails, through another host. A host may lose its route to upstreams while
+// callers still reach it; without a detour their requests would be refused.
 func (e *Edge) connect(ctx context.Context, addr string) (net.Conn, error) {
 	_, lost := e.reach.Lost(addr)
 	if !lost {
@@ -50,18 +50,18 @@
 	return c, err
 }
 
-// detour opens a connection by way of another host.
+// detour opens a connection through another host.
 func (e *Edge) detour(ctx context.Context, addr string) (net.Conn, error) {
-	err := merry.Wrap(errAlone)
+	err := merry.Wrap(errNoDetour)
 	outcome := "none"
-	for _, h := range e.byway() {
+	for _, h := range e.detourHosts() {
 		t, failed := tunnel.Open(ctx, h.IP, addr, func(ctx context.Context) (*strm.Stream, error) {
-			return e.mesh.Load().Open(ctx, h.Peers, methodPass, addr)
+			return e.mesh.Load().Open(ctx, h.Peers, methodForward, addr)
 		})
 		if failed == nil {
 			e.Stats.Add(stats.Detours, 1, "outcome", "ok")
 			e.reach.Byway(addr)
-			e.Log.Info("connected by way of another host", zap.String("addr", addr), zap.String("host", h.IP))
+			e.Log.Info("connected through another host", zap.String("addr", addr), zap.String("host", h.IP))
 			return t, nil
 		}
 		err, outcome = failed, "failed"
@@ -70,8 +70,8 @@
 	return nil, err
 }
 
-// byway returns the hosts that are asked to open a connection for this one, in the order in which they are.
-func (e *Edge) byway() []mate.Mate {
+// detourHosts returns the hosts to ask for a forwarded connection, in order.
+func (e *Edge) detourHosts() []mate.Mate {
 	m := e.mates.Load()
 	if m == nil {
 		return nil
@@ -81,46 +81,46 @@
 	for ip := range reaching {
 		ips = append(ips, ip)
 	}
-	ips = spread.First(ips, e.Setup().IP, mostByway)
+	ips = spread.First(ips, e.Setup().IP, maxDetourHosts)
 	rand.Shuffle(len(ips), func(i, j int) { ips[i], ips[j] = ips[j], ips[i] })
 	var hosts []mate.Mate
-	for _, ip := range ips[:min(triesByway, len(ips))] {
+	for _, ip := range ips[:min(detourAttempts, len(ips))] {
 		hosts = append(hosts, reaching[ip])
 	}
 	return hosts
 }
 
-// usable reports whether a kept connection on which something came last at a time may be used: not one of this host's own that seems to hang, nor one by way
-// of another host that is not needed any more, or leaves.
-func (e *Edge) usable(c net.Conn, heard time.Time) bool {
-	since, lost := e.reach.Lost(c.RemoteAddr().String())
-	t, passed := c.(*tunnel.Tunnel)
-	if !passed {
-		return !lost || heard.After(since)
+// connUsable reports whether an idle connection that last received data at lastReceived may be reused: not a direct one that seems to hang,
+// nor one through another host that is no longer needed or whose host is leaving.
+func (e *Edge) connUsable(c net.Conn, lastReceived time.Time) bool {
+	lostSince, lost := e.reach.Lost(c.RemoteAddr().String())
+	t, tunneled := c.(*tunnel.Tunnel)
+	if !tunneled {
+		return !lost || lastReceived.After(lostSince)
 	}
 	m := e.mates.Load()
 	_, reaching := m.Reaching()[t.Host()]
 	return lost && reaching && t.Quiet()
 }
 
-// pass opens a connection to an upstream for another host, of this host's own alone: two hosts that have lost their way would send each other round in
-// circles.
-func (e *Edge) pass(ctx context.Context, s *strm.Stream) error {
+// forwardConn opens a connection to an upstream for another host, only directly: two hosts without a route would forward to each other in a
+// loop.
+func (e *Edge) forwardConn(ctx context.Context, s *strm.Stream) error {
 	var addr string
 	if err := s.Recv(ctx, &addr); err != nil {
 		return err
 	}
-	if e.late() {
+	if e.stopsSoon() {
 		return refuse.NewRefusal(verd.NotRun, refuse.Leaving, "this host is about to stop")
 	}
-	if !slices.Contains(e.upstreams(), addr) {
+	if !slices.Contains(e.upstreamAddrs(), addr) {
 		return refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "no upstream at %s", addr)
 	}
-	if e.passes.Add(1) > int64(e.Setup().Files/passShare) {
-		e.passes.Add(-1)
+	if e.forwardedConns.Add(1) > int64(e.Setup().Files/forwardFilesDivisor) {
+		e.forwardedConns.Add(-1)
 		return refuse.NewRefusal(verd.NotRun, refuse.Overloaded, "too many connections for other hosts")
 	}
-	defer e.passes.Add(-1)
+	defer e.forwardedConns.Add(-1)
 	c, err := e.reach.Dial(ctx, addr)
 	if err != nil {
 		return verd.Mark(err, verd.NotRun)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,4 +1,4 @@
-// Package edge puts the parts of an entry host on the users' platform together.
+// Package edge wires the components of one entry host's process together.
 package edge
 
 import (
@@ -48,71 +48,71 @@
 	"damaskreach/internal/uplink"
 )
 
-// Edge is one entry host. Its exported fields are set before Run; the functions speak the platform's protocols.
+// Edge is the process of one entry host. Its exported fields are set before Run; its functions implement the platform's protocols.
 type Edge struct {
-	Setup   func() setup.Setup
-	Table   table.Table
-	Conf    string // prefix of the operators' rows
-	Targets string // prefix of the registrations
-	Rules   func(row rows.Row) (rules.Rules, bool, error)
-	Target  func(row rows.Row) (target.Target, error)
-	Version func(row rows.Row) (adapter string, version int, ok bool, err error)
-	Decode  func(r *http.Request) (demand.Demand, error)
-	Headers func(id string, left time.Duration, version int, last string) http.Header
-	NotRun  func(status int, h http.Header) bool
-	Notice  func(status int, h http.Header) (notice.Notice, error)
-	// OnBehalf returns a caller's headers as they go to an upstream in the name of a team.
-	OnBehalf func(h http.Header, team string) http.Header
-	Matches  func(h http.Header, id string) bool
-	Give     func(ctx context.Context, c change.Change) (effect.Effect, error)
-	Ask      func(ctx context.Context, c change.Change) (state.State, error)
-	Dial     func(ctx context.Context, addr string) (net.Conn, error)
-	Listen   func(addr string) (net.Listener, error)
-	Clock    func() time.Duration // goes on through suspensions
-	// Serve returns the handlers for lookups and for the platform's question whether the host is ready.
+	Setup           func() setup.Setup
+	Table           table.Table
+	ConfPrefix      string // key prefix of the operators' rows
+	TargetPrefix    string // key prefix of the upstreams' registrations
+	DecodeRules     func(row rows.Row) (rules.Rules, bool, error)
+	DecodeTarget    func(row rows.Row) (target.Target, error)
+	DecodeVersion   func(row rows.Row) (adapter string, version int, ok bool, err error)
+	DecodeRequest   func(r *http.Request) (demand.Demand, error)
+	UpstreamHeaders func(id string, left time.Duration, version int, last string) http.Header
+	NotRun          func(status int, h http.Header) bool
+	DecodeNotice    func(status int, h http.Header) (notice.Notice, error)
+	// TeamHeaders returns a caller's headers as sent to an upstream on behalf of a team.
+	TeamHeaders func(h http.Header, team string) http.Header
+	Matches     func(h http.Header, id string) bool
+	SendOrder   func(ctx context.Context, c change.Change) (effect.Effect, error)
+	QueryState  func(ctx context.Context, c change.Change) (state.State, error)
+	Dial        func(ctx context.Context, addr string) (net.Conn, error)
+	Listen      func(addr string) (net.Listener, error)
+	Clock       func() time.Duration // also counts time in which the machine is suspended
+	// Lookup and Ready return the handlers for address lookups and for the platform's readiness probe.
 	Lookup func(names func(centre string) (addrs []string, life time.Duration)) http.Handler
 	Ready  func(ready func() bool) http.Handler
 	Log    *zap.Logger
-	// Requests takes the line that every request ends with; it is the first to lose lines where there are too many.
-	Requests *zap.Logger
-	Stats    *stats.Stats
+	// RequestLog takes the final line of each request; under overload its lines are dropped first.
+	RequestLog *zap.Logger
+	Stats      *stats.Stats
 
-	intake  *intake.Intake
-	tenure  *tenure.Tenure
-	giver   *loader.Loader
-	quotas  *quotas.Quotas
-	limits  *limits.Limits
-	mates   atomic.Pointer[mates.Mates]
-	mesh    atomic.Pointer[peer.Mesh]
-	roster  *roster.Roster
-	feeds   *feeds.Feeds
-	readers trust.Trust
-	holds   *holds.Holds
-	speeds  *speeds.Speeds
-	jitter  *jitter.Jitter
-	pick    *pick.Pick
-	ration  *ration.Ration
-	flight  *flight.Flight
-	avoid   *avoid.Avoid
-	duty    atomic.Pointer[duty]
-	uplink  *uplink.Uplink
-	reach   *reach.Reach
-	orders  sync.Map     // when this host gave its last order to each engine, by Clock
-	passes  atomic.Int64 // connections to upstreams that this host has opened for others
-	spare   *spare.Spare
-	news    *news
-	past    past.Past
-	depot   depot.Depot
-	brings  brings
-	conns   conns.Conns
-	blame   blame.Blame
-	keeper  keeper
-	ending  context.Context // done shortly before the program ends
-	leaving atomic.Bool
-	leftAt  atomic.Int64 // when it began to leave, in Unix nanoseconds
+	intake         *intake.Intake
+	tenure         *tenure.Tenure
+	giver          *loader.Loader
+	quotas         *quotas.Quotas
+	limits         *limits.Limits
+	mates          atomic.Pointer[mates.Mates]
+	mesh           atomic.Pointer[peer.Mesh]
+	roster         *roster.Roster
+	feeds          *feeds.Feeds
+	readers        trust.Trust
+	holds          *holds.Holds
+	speeds         *speeds.Speeds
+	jitter         *jitter.Jitter
+	pick           *pick.Pick
+	ration         *ration.Ration
+	flight         *flight.Flight
+	avoid          *avoid.Avoid
+	fallback       atomic.Pointer[fallback]
+	uplink         *uplink.Uplink
+	reach          *reach.Reach
+	lastOrders     sync.Map     // time of this host's last order to each engine, by Clock
+	forwardedConns atomic.Int64 // connections to upstreams opened for other hosts
+	spare          *spare.Spare
+	activity       *activity
+	past           past.Past
+	depot          depot.Depot
+	confFetch      confFetch
+	conns          conns.Conns
+	blame          blame.Blame
+	memoWriter     memoWriter
+	ending         context.Context // done shortly before the process exits
+	leaving        atomic.Bool
+	leavingSince   atomic.Int64 // when graceful shutdown began, in Unix nanoseconds
 }
 
-// Run serves until ctx ends or a port fails, and then as long as the requests under way need, within the grace.
+// Run serves until ctx ends or a port fails, then finishes requests in flight within the grace period.
 func (e *Edge) Run(ctx context.Context) error {
 	ending, end := context.WithCancel(context.Background())
 	defer end()
@@ -120,7 +120,7 @@
 	handler := e.build()
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	e.begin(work)
+	e.startBackground(work)
 	callers, failed, err := e.listen(handler)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	var fault error
 	select {
 	case fault = <-failed:
-		e.Log.Error("a port failed", zap.Error(fault))
+		e.Log.Error("listener failed", zap.Error(fault))
 	case <-ctx.Done():
 	}
 	e.leave(callers, end)
@@ -138,9 +138,9 @@
 	return fault
 }
 
-// begin starts all that goes on beside requests.
-func (e *Edge) begin(work context.Context) {
-	e.gauges()
+// startBackground starts all work that does not belong to a single request.
+func (e *Edge) startBackground(work context.Context) {
+	e.registerGauges()
 	go e.intake.RunConf(work)
 	go e.intake.RunTargets(work)
 	go e.tenure.Run(work)
@@ -149,5 +149,5 @@
 	go e.runPeers(work, e.Setup())
 	go e.reach.Run(work)
 	go e.sweep(work)
-	go e.tellSelf(work)
+	go e.reportToSelf(work)
 }
--- /dev/null
+++ b/internal/edge/fallback.go
@@ -0,0 +1,78 @@
+package edge
+
+import (
+	"slices"
+	"sync"
+
+	"damaskreach/internal/mate"
+	"damaskreach/internal/spread"
+)
+
+// maxFallbackHosts is how many of the strongest hosts share the work for upstreams whose owner is down.
+const maxFallbackHosts = 16
+
+// fallback holds the hosts that act in place of owners that are down, as of the last update.
+type fallback struct {
+	self   string
+	alive  map[string]mate.Mate // other hosts that are alive
+	hosts  []string             // act in place of owners that are down
+	picked sync.Map             // chosen host by upstream; a relay asks at each message for each engine in use
+}
+
+// newFallback returns the fallback hosts, given the other hosts that are alive.
+func newFallback(self mate.Mate, living map[string]mate.Mate) *fallback {
+	strongest := []mate.Mate{self}
+	for _, m := range living {
+		if len(strongest) == maxFallbackHosts && strongest[maxFallbackHosts-1].Before(m) {
+			continue
+		}
+		pos := slices.IndexFunc(strongest, m.Before)
+		if pos < 0 {
+			pos = len(strongest)
+		}
+		strongest = slices.Insert(strongest, pos, m)
+		strongest = strongest[:min(len(strongest), maxFallbackHosts)]
+	}
+	f := &fallback{self: self.IP, alive: living}
+	for _, m := range strongest {
+		f.hosts = append(f.hosts, m.IP)
+	}
+	return f
+}
+
+// updateFallback recomputes the fallback hosts.
+func (e *Edge) updateFallback() {
+	var living map[string]mate.Mate
+	if m := e.mates.Load(); m != nil {
+		living = m.Living()
+	}
+	e.fallback.Store(newFallback(e.Setup().Mate(), living))
+}
+
+// countingHost returns the host that counts the requests for an upstream without an owner.
+func (e *Edge) countingHost(id string) string {
+	return e.fallback.Load().pick(id)
+}
+
+func (f *fallback) pick(id string) string {
+	if host, ok := f.picked.Load(id); ok {
+		return host.(string)
+	}
+	host := spread.Pick(f.hosts, id)
+	f.picked.Store(id, host)
+	return host
+}
+
+// turnGranter returns the host that grants turns to send prompts to an engine: its owner, or a fallback host if the owner is down.
+func (e *Edge) turnGranter(id string) string {
+	owner, f := e.tenure.Owner(id), e.fallback.Load()
+	if _, alive := f.alive[owner]; alive || owner == f.self {
+		return owner
+	}
+	return f.pick(id)
+}
+
+// grantsTurns reports whether this host grants the turns at an engine.
+func (e *Edge) grantsTurns(id string) bool {
+	return e.turnGranter(id) == e.fallback.Load().self
+}
--- a/internal/edge/farm_test.go
+++ b/internal/edge/farm_test.go
@@ -32,84 +32,84 @@
 const (
 	farmAddr    = "10.9.9.7:80"
 	headAdapter = "Fake-Adapter"
-	headLast    = "Fake-Last" // event that the caller has
-	// farmSlots, farmPlaces are the requests that an engine runs at once, and the adapters that it has room for.
+	headLast    = "Fake-Last" // last event that the caller has
+	// farmSlots is how many requests an engine runs at once, farmPlaces how many adapters it holds.
 	farmSlots, farmPlaces = 6, 6
-	// readTakes is how long an engine reads a prompt, eventTakes its time for each of the farmEvents of an answer.
-	readTakes, eventTakes = 40 * time.Millisecond, 30 * time.Millisecond
+	// promptTime is how long an engine reads a prompt, eventTime how long it takes for each of the farmEvents events of an answer.
+	promptTime, eventTime = 40 * time.Millisecond, 30 * time.Millisecond
 	farmEvents            = 20
-	// baseTakes and loadTakes are how long loads of the base model and of an adapter take; farmLoads are as fast at once over all engines.
-	baseTakes, loadTakes = 600 * time.Millisecond, 288 * time.Millisecond
-	farmLoads            = 12
-	// farmGoal is within which the first event is in time.
-	farmGoal = 500 * time.Millisecond
+	// baseLoadTime and adapterLoadTime are the load times of the base model and of an adapter, with up to parallelLoads over all engines.
+	baseLoadTime, adapterLoadTime = 600 * time.Millisecond, 288 * time.Millisecond
+	parallelLoads                 = 12
+	// farmLatencyTarget is the time within which the first event is in time.
+	farmLatencyTarget = 500 * time.Millisecond
 )
 
-// farm is a fleet whose upstreams are engines: they load adapters from one weight store and answer by streams.
+// farm is a fleet whose upstreams are engines: they load adapters from one weight store and answer with streams.
 type farm struct {
-	*payers
-	apart bool // each engine has an address of its own
+	*teamFleet
+	separateAddrs bool // each engine has its own address
 
-	mu       sync.Mutex
-	engines  map[string]*machine
-	loading  []time.Time // when the loads on their way from the weight store are there
-	streamed []streamed
-	came     []came
-	loads    []came // orders to load an adapter
+	mu         sync.Mutex
+	engines    map[string]*fakeEngine
+	loading    []time.Time // when the loads under way from the weight store end
+	streams    []streamResult
+	arrivals   []arrival
+	loadOrders []arrival // orders to load an adapter
 }
 
-// machine is one engine of a farm.
-type machine struct {
-	target  target.Target
-	there   map[string]time.Time // from when on it holds each adapter, and the base model under ""
-	using   map[string]int
-	doomed  map[string]bool // unloads that wait for requests
-	read    time.Time       // when it has read all prompts that it got
-	running int
+// fakeEngine is one engine of a farm.
+type fakeEngine struct {
+	target        target.Target
+	readyAt       map[string]time.Time // when each adapter is loaded, and the base model under ""
+	using         map[string]int
+	unloading     map[string]bool // unloads that wait for requests to end
+	promptsReadAt time.Time       // when all prompts received are read
+	running       int
 }
 
-// came is a request, or an order, as an engine got it.
-type came struct {
+// arrival is a request, or an order to load, as an engine received it.
+type arrival struct {
 	id, adapter, engine, host string
 	at                        time.Time
-	beside                    int // requests that the engine ran already, or loads on their way from the store
+	concurrent                int // requests already running at the engine, or loads already under way
 	ran                       bool
 }
 
 // newFarm starts hosts and engines that hold the base model.
 func newFarm(t *testing.T, hosts, engines int, teams func(version int64) []team.Team) *farm {
-	f := &farm{engines: map[string]*machine{}}
+	f := &farm{engines: map[string]*fakeEngine{}}
 	f.start(t, hosts, engines, teams, f.adaptHost)
 	return f
 }
 
 func (f *farm) start(t *testing.T, hosts, engines int, teams func(version int64) []team.Team, adapt func(e *edge.Edge, s *setup.Setup)) {
-	f.payers = newPayersOf(t, hosts, 3, 0, teams, adapt)
-	if !f.apart {
+	f.teamFleet = newTeamFleetOf(t, hosts, 3, 0, teams, adapt)
+	if !f.separateAddrs {
 		f.serveAt(t, farmAddr, f.serve)
 	}
 	for i := range engines {
-		if f.apart {
-			f.serveAt(t, apartAddr(i), f.serve)
+		if f.separateAddrs {
+			f.serveAt(t, separateAddr(i), f.serve)
 		}
 		f.addEngine(fmt.Sprint("e", i), true)
 	}
 	time.Sleep(14 * time.Second)
 }
 
-// apartAddr is the address of the nth upstream of a fleet whose upstreams have addresses of their own.
-func apartAddr(n int) string { return fmt.Sprintf("10.9.8.%d:80", n+1) }
+// separateAddr is the address of the nth upstream of a fleet whose upstreams have separate addresses.
+func separateAddr(n int) string { return fmt.Sprintf("10.9.8.%d:80", n+1) }
 
 // addEngine starts an engine, with the base model or empty.
 func (f *farm) addEngine(id string, base bool) {
-	m := &machine{there: map[string]time.Time{}, using: map[string]int{}, doomed: map[string]bool{}}
+	m := &fakeEngine{readyAt: map[string]time.Time{}, using: map[string]int{}, unloading: map[string]bool{}}
 	if base {
-		m.there[""] = time.Now()
+		m.readyAt[""] = time.Now()
 	}
 	f.mu.Lock()
 	addr := farmAddr
-	if f.apart {
-		addr = apartAddr(len(f.engines))
+	if f.separateAddrs {
+		addr = separateAddr(len(f.engines))
 	}
 	m.target = target.Target{
 		ID: id, Born: time.Now().UnixMilli(), Group: "g", Addr: addr, Centre: fmt.Sprint("dc-", len(f.engines)%3), Slots: farmSlots,
@@ -117,18 +117,18 @@
 	f.engines[id] = m
 	f.mu.Unlock()
 	go func() {
-		for ; f.ctx.Err() == nil && !f.hasLeft(id); time.Sleep(beat) {
-			f.tell(id)
+		for ; f.ctx.Err() == nil && !f.hasLeft(id); time.Sleep(registrationInterval) {
+			f.publish(id)
 		}
 	}()
 }
 
-// tell has an engine write its registration.
-func (f *farm) tell(id string) {
+// publish writes an engine's registration.
+func (f *farm) publish(id string) {
 	f.mu.Lock()
 	now, m := time.Now(), f.engines[id]
 	one := m.target
-	one.Adapters = m.holds(now)
+	one.Adapters = m.heldAdapters(now)
 	if one.Models = nil; m.has("", now) {
 		one.Models = []string{"m"}
 	}
@@ -140,27 +140,27 @@
 	}
 }
 
-// remove has an engine begin to leave.
-func (f *farm) remove(id string) {
+// startLeaving has an engine begin to leave.
+func (f *farm) startLeaving(id string) {
 	f.mu.Lock()
 	f.engines[id].target.Draining = true
 	f.mu.Unlock()
 	f.fleet.mu.Lock()
-	f.left[id] = time.Now()
+	f.leftAt[id] = time.Now()
 	f.fleet.mu.Unlock()
-	f.tell(id)
-	time.AfterFunc(2*drain, func() { f.store.drop("servers/" + id) })
+	f.publish(id)
+	time.AfterFunc(2*drainTime, func() { f.store.drop("servers/" + id) })
 }
 
-func (m *machine) has(adapter string, now time.Time) bool {
-	at, ok := m.there[adapter]
+func (m *fakeEngine) has(adapter string, now time.Time) bool {
+	at, ok := m.readyAt[adapter]
 	return ok && !now.Before(at)
 }
 
-// holds returns the adapters that are there.
-func (m *machine) holds(now time.Time) map[string]int {
+// heldAdapters returns the adapters that are loaded.
+func (m *fakeEngine) heldAdapters(now time.Time) map[string]int {
 	held := map[string]int{}
-	for a := range m.there {
+	for a := range m.readyAt {
 		if a != "" && m.has(a, now) {
 			held[a] = 1
 		}
@@ -168,34 +168,34 @@
 	return held
 }
 
-// give carries an order out as the users' engines do.
-func (f *farm) give(_ context.Context, c change.Change) (effect.Effect, error) {
+// applyOrder carries out an order as the users' engines do.
+func (f *farm) applyOrder(_ context.Context, c change.Change) (effect.Effect, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, m, name := time.Now(), f.engines[c.Target.ID], ""
 	if c.Adapter != "" {
 		name = c.Model + "/" + c.Adapter
 	}
-	_, under := m.there[name]
+	_, known := m.readyAt[name]
 	switch {
 	case c.Sequence != m.target.Sequence:
 		return effect.Conflict, nil
 	case c.Load && m.has(name, now):
 		return effect.Done, nil
-	case c.Load && under:
+	case c.Load && known:
 		return effect.Accepted, nil
 	case c.Load && name == "":
-		m.there[name] = now.Add(baseTakes)
-		time.AfterFunc(baseTakes, func() { f.tell(c.Target.ID) })
+		m.readyAt[name] = now.Add(baseLoadTime)
+		time.AfterFunc(baseLoadTime, func() { f.publish(c.Target.ID) })
 	case c.Load:
 		f.loading = slices.DeleteFunc(f.loading, func(at time.Time) bool { return !now.Before(at) })
-		m.there[name] = now.Add(loadTakes * time.Duration(max(farmLoads, len(f.loading)+1)) / farmLoads)
-		f.loading = append(f.loading, m.there[name])
-		f.loads = append(f.loads, came{adapter: name, engine: c.Target.ID, at: now, beside: len(f.loading) - 1})
+		m.readyAt[name] = now.Add(adapterLoadTime * time.Duration(max(parallelLoads, len(f.loading)+1)) / parallelLoads)
+		f.loading = append(f.loading, m.readyAt[name])
+		f.loadOrders = append(f.loadOrders, arrival{adapter: name, engine: c.Target.ID, at: now, concurrent: len(f.loading) - 1})
 	case m.using[name] > 0:
-		m.doomed[name] = true
+		m.unloading[name] = true
 	default:
-		delete(m.there, name)
+		delete(m.readyAt, name)
 		m.target.Sequence++
 		return effect.Done, nil
 	}
@@ -203,13 +203,13 @@
 	return effect.Accepted, nil
 }
 
-// report returns what an engine holds.
-func (f *farm) report(_ context.Context, c change.Change) (state.State, error) {
+// engineState returns what an engine holds.
+func (f *farm) engineState(_ context.Context, c change.Change) (state.State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, m := time.Now(), f.engines[c.Target.ID]
-	s := state.State{Born: m.target.Born, Sequence: m.target.Sequence, Adapters: m.holds(now), Pending: map[string]int{}}
-	for a := range m.there {
+	s := state.State{Born: m.target.Born, Sequence: m.target.Sequence, Adapters: m.heldAdapters(now), Pending: map[string]int{}}
+	for a := range m.readyAt {
 		switch {
 		case a == "" && m.has(a, now):
 			s.Models = []string{"m"}
@@ -222,85 +222,85 @@
 	return s, nil
 }
 
-// adaptHost has a host take the upstreams for engines of the farm.
+// adaptHost makes a host use the engines of the farm as upstreams.
 func (f *farm) adaptHost(e *edge.Edge, s *setup.Setup) {
-	decode, conf, ip := e.Decode, e.Rules, s.IP
-	e.Decode = func(r *http.Request) (demand.Demand, error) {
+	decode, conf, ip := e.DecodeRequest, e.DecodeRules, s.IP
+	e.DecodeRequest = func(r *http.Request) (demand.Demand, error) {
 		d, err := decode(r)
 		d.Model, d.Adapter, d.Wait = "m", r.Header.Get(headAdapter), 12*time.Second
 		return d, err
 	}
-	e.Rules = func(row rows.Row) (rules.Rules, bool, error) {
+	e.DecodeRules = func(row rows.Row) (rules.Rules, bool, error) {
 		r, ok, err := conf(row)
 		r.Pools = map[string]pool.Pool{"g": {
 			Name: "g", MaxConns: 5000, Engine: true, Slots: farmSlots, Places: farmPlaces, Memory: 1000,
-			Models: []model.Model{{Name: "m", Size: 900, Load: baseTakes, Adapter: 1}},
+			Models: []model.Model{{Name: "m", Size: 900, Load: baseLoadTime, Adapter: 1}},
 		}}
 		r.Routes = map[string][]route.Route{"a.example": {{
-			Name: "r", Host: "a.example", Prefix: "/", Kind: kinds.Stream, Groups: []string{"g"}, Weights: []int{1}, Target: farmGoal,
+			Name: "r", Host: "a.example", Prefix: "/", Kind: kinds.Stream, Groups: []string{"g"}, Weights: []int{1}, Target: farmLatencyTarget,
 			Gap: 300 * time.Millisecond, Timeout: 12 * time.Second, Attempts: 2, Resumable: true,
 		}}}
 		return r, ok, err
 	}
-	e.Target = func(row rows.Row) (t target.Target, err error) {
+	e.DecodeTarget = func(row rows.Row) (t target.Target, err error) {
 		err = json.Unmarshal(row.Value, &t)
 		return t, err
 	}
-	e.Headers = func(id string, _ time.Duration, _ int, last string) http.Header {
+	e.UpstreamHeaders = func(id string, _ time.Duration, _ int, last string) http.Header {
 		return http.Header{headFor: {id}, headFrom: {ip}, headLast: {last}}
 	}
 	e.NotRun = func(status int, _ http.Header) bool { return status == http.StatusMisdirectedRequest }
-	e.Give, e.Ask = f.give, f.report
+	e.SendOrder, e.QueryState = f.applyOrder, f.engineState
 }
 
-// begin takes a request in at an engine, and returns when its prompt is read; false means that the engine does not hold what it asks for.
-func (f *farm) begin(r *http.Request) (wait time.Duration, ok bool) {
+// admit accepts a request at an engine and returns how long its prompt takes to be read; ok is false if the engine lacks what it asks for.
+func (f *farm) admit(r *http.Request) (wait time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, id, adapter := time.Now(), r.Header.Get(headFor), r.Header.Get(headAdapter)
 	m := f.engines[id]
-	ok = m.has("", now) && m.has(adapter, now) && !m.doomed[adapter]
-	f.came = append(f.came, came{r.Header.Get(headID), adapter, id, r.Header.Get(headFrom), now, m.running, ok})
+	ok = m.has("", now) && m.has(adapter, now) && !m.unloading[adapter]
+	f.arrivals = append(f.arrivals, arrival{r.Header.Get(headID), adapter, id, r.Header.Get(headFrom), now, m.running, ok})
 	if !ok {
 		return 0, false
 	}
 	m.using[adapter]++
 	m.running++
-	if m.read.Before(now) {
-		m.read = now
+	if m.promptsReadAt.Before(now) {
+		m.promptsReadAt = now
 	}
-	m.read = m.read.Add(readTakes)
-	return m.read.Sub(now), true
+	m.promptsReadAt = m.promptsReadAt.Add(promptTime)
+	return m.promptsReadAt.Sub(now), true
 }
 
-// end takes a request out of an engine.
-func (f *farm) end(id, adapter string) {
+// release ends a request at an engine.
+func (f *farm) release(id, adapter string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.engines[id]
 	m.running--
 	m.using[adapter]--
-	if m.doomed[adapter] && m.using[adapter] == 0 {
-		delete(m.doomed, adapter)
-		delete(m.there, adapter)
+	if m.unloading[adapter] && m.using[adapter] == 0 {
+		delete(m.unloading, adapter)
+		delete(m.readyAt, adapter)
 	}
 }
 
-// serve is the engines.
+// serve is the handler of all engines.
 func (f *farm) serve(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headID, r.Header.Get(headID))
-	wait, ok := f.begin(r)
+	wait, ok := f.admit(r)
 	if !ok {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	defer f.end(r.Header.Get(headFor), r.Header.Get(headAdapter))
-	last, _ := strconv.Atoi(r.Header.Get(headLast)) // none where the stream begins
+	defer f.release(r.Header.Get(headFor), r.Header.Get(headAdapter))
+	last, _ := strconv.Atoi(r.Header.Get(headLast)) // 0 at the start of a stream
 	for n := last + 1; n <= farmEvents; n, wait = n+1, 0 {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(wait + eventTakes):
+		case <-time.After(wait + eventTime):
 		}
 		fmt.Fprintf(w, "id: %d\ndata: x\n\n", n)
 		if http.NewResponseController(w).Flush() != nil {
--- a/internal/edge/fleet_test.go
+++ b/internal/edge/fleet_test.go
@@ -30,32 +30,32 @@
 )
 
 const (
-	beat  = 1200 * time.Millisecond // between two registrations of an upstream
-	drain = 3 * time.Second         // within which no new work goes to a leaving upstream
-	// leaving is the value of a registration that says so.
+	registrationInterval = 1200 * time.Millisecond // between two registrations of an upstream
+	drainTime            = 3 * time.Second         // within which no new work goes to a leaving upstream
+	// leaving is the value of the registration of a leaving upstream.
 	leaving = "leaving"
 )
 
-// fleet is whole entry hosts over a network in memory, one store and upstreams that register there.
+// fleet is a set of complete entry hosts on an in-memory network, with one store and upstreams that register there.
 type fleet struct {
-	t       *testing.T
-	net     *memnet.Net
-	store   *store
-	begun   time.Time
-	centres int
+	t         *testing.T
+	net       *memnet.Net
+	store     *store
+	startedAt time.Time
+	centres   int
 
-	mu    sync.Mutex
-	left  map[string]time.Time            // when the store accepted that an upstream leaves
-	knew  map[string]map[string]time.Time // when each host learned of it, by upstream and host
-	taken map[string]string               // host that gives each upstream its orders
-	found map[string]int                  // how many upstreams each host has found since its last start
-	said  []line
-	hosts []string
-	ports []net.Listener
-	adapt func(e *edge.Edge, s *setup.Setup) (killed func() bool) // changes a host before it starts
+	mu         sync.Mutex
+	leftAt     map[string]time.Time            // when the store accepted that an upstream leaves
+	learnedAt  map[string]map[string]time.Time // when each host learned of it, by upstream and host
+	owners     map[string]string               // host that owns each upstream
+	foundCount map[string]int                  // upstreams that each host found since its last start
+	logged     []logLine
+	hosts      []string
+	ports      []net.Listener
+	adapt      func(e *edge.Edge, s *setup.Setup) (killed func() bool) // changes a host before it starts
 }
 
-// newFleet starts hosts in so many data centres, and upstreams that go on registering.
+// newFleet starts hosts in a number of data centres, and upstreams that register periodically.
 func newFleet(t *testing.T, hosts, centres, upstreams int) *fleet {
 	return newFleetOf(t, hosts, centres, upstreams, func(*edge.Edge, *setup.Setup) func() bool {
 		return func() bool { return false }
@@ -65,13 +65,13 @@
 func newFleetOf(t *testing.T, hosts, centres, upstreams int, adapt func(e *edge.Edge, s *setup.Setup) (killed func() bool)) *fleet {
 	f := &fleet{
 		adapt: adapt,
-		t:     t, net: memnet.NewNet(1), store: newStore(), begun: time.Now(), centres: centres,
-		left: map[string]time.Time{}, knew: map[string]map[string]time.Time{}, found: map[string]int{}, taken: map[string]string{},
+		t:     t, net: memnet.NewNet(1), store: newStore(), startedAt: time.Now(), centres: centres,
+		leftAt: map[string]time.Time{}, learnedAt: map[string]map[string]time.Time{}, foundCount: map[string]int{}, owners: map[string]string{},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(10 * time.Second) // in which hosts end
+		time.Sleep(10 * time.Second) // for hosts to end
 		for _, l := range f.ports {
 			l.Close()
 		}
@@ -79,7 +79,7 @@
 	})
 	f.store.put("op/config", "1")
 	for i := range upstreams {
-		go f.register(ctx, fmt.Sprint("u", i), time.Duration(i)*beat/time.Duration(upstreams))
+		go f.register(ctx, fmt.Sprint("u", i), time.Duration(i)*registrationInterval/time.Duration(upstreams))
 	}
 	for i := range hosts {
 		f.hosts = append(f.hosts, hostIP(i))
@@ -88,9 +88,9 @@
 	return f
 }
 
-// register writes an upstream's registration again and again.
+// register writes an upstream's registration periodically.
 func (f *fleet) register(ctx context.Context, id string, first time.Duration) {
-	for wait := first; ctx.Err() == nil; wait = beat {
+	for wait := first; ctx.Err() == nil; wait = registrationInterval {
 		select {
 		case <-ctx.Done():
 			return
@@ -105,28 +105,28 @@
 func (f *fleet) hasLeft(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.left[id].IsZero()
+	return !f.leftAt[id].IsZero()
 }
 
-// vanish has an upstream's registration dropped without a word before.
+// vanish drops an upstream's registration without notice.
 func (f *fleet) vanish(id string) {
 	f.mu.Lock()
-	f.left[id] = time.Now()
+	f.leftAt[id] = time.Now()
 	f.mu.Unlock()
 	f.store.drop("servers/" + id)
 }
 
-// orders returns the host that gives an upstream its orders.
-func (f *fleet) orders(id string) string {
+// owner returns the host that owns an upstream.
+func (f *fleet) owner(id string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.taken[id]
+	return f.owners[id]
 }
 
 // leave has an upstream begin to leave.
 func (f *fleet) leave(id string) {
 	f.mu.Lock()
-	f.left[id] = time.Now()
+	f.leftAt[id] = time.Now()
 	f.mu.Unlock()
 	f.store.put("servers/"+id, leaving)
 }
@@ -135,29 +135,30 @@
 	return fmt.Sprintf("10.0.%d.%d", i/250, i%250+1)
 }
 
-// start runs the program on a host until ctx ends.
+// start runs the process on a host until ctx ends.
 func (f *fleet) start(ctx context.Context, i int) {
 	ip := hostIP(i)
 	s := setup.Setup{
 		Name: ip, IP: ip, Centre: fmt.Sprint("dc-", i%f.centres), Callers: ip + ":8000", Ready: ip + ":8001", Lookup: ip + ":8002",
-		Peers: ip + ":7380", Cores: 0.2, Memory: 200, Files: 4000, Beat: beat, Drain: drain, Grace: 8 * time.Second, Turn: 3 * time.Second,
+		Peers: ip + ":7380", Cores: 0.2, Memory: 200, Files: 4000, Beat: registrationInterval, Drain: drainTime,
+		Grace: 8 * time.Second, Turn: 3 * time.Second,
 		Version: 5 * time.Second, Life: 5 * time.Second, Share: 0.2, Extra: 100, Window: 10 * time.Second, Loads: 5 * time.Second,
 	}
 	e := &edge.Edge{
-		Setup: func() setup.Setup { return s }, Table: f.store.table(ip), Conf: "op/", Targets: "servers/",
-		Rules: func(row rows.Row) (rules.Rules, bool, error) {
+		Setup: func() setup.Setup { return s }, Table: f.store.table(ip), ConfPrefix: "op/", TargetPrefix: "servers/",
+		DecodeRules: func(row rows.Row) (rules.Rules, bool, error) {
 			version, err := strconv.ParseInt(string(row.Value), 10, 64)
 			return rules.Rules{Version: version, Pools: map[string]pool.Pool{"g": {Name: "g"}}}, true, err
 		},
-		Target: func(row rows.Row) (target.Target, error) {
+		DecodeTarget: func(row rows.Row) (target.Target, error) {
 			id := strings.TrimPrefix(row.Key, "servers/")
 			return target.Target{ID: id, Group: "g", Addr: upstreamAddr, Slots: 6, Draining: string(row.Value) == leaving}, nil
 		},
-		Version: func(rows.Row) (string, int, bool, error) { return "", 0, false, nil },
-		Dial:    f.net.Dial(ip), Listen: f.listen, Clock: func() time.Duration { return time.Since(f.begun) },
+		DecodeVersion: func(rows.Row) (string, int, bool, error) { return "", 0, false, nil },
+		Dial:          f.net.Dial(ip), Listen: f.listen, Clock: func() time.Duration { return time.Since(f.startedAt) },
 		Lookup: func(func(string) ([]string, time.Duration)) http.Handler { return http.NotFoundHandler() },
 		Ready:  func(func() bool) http.Handler { return http.NotFoundHandler() },
-		Log:    zap.New(&lines{fleet: f, host: ip}), Requests: zap.NewNop(), Stats: stats.NewStats(),
+		Log:    zap.New(&logCore{fleet: f, host: ip}), RequestLog: zap.NewNop(), Stats: stats.NewStats(),
 	}
 	killed := f.adapt(e, &s)
 	go func() {
@@ -167,7 +168,7 @@
 	}()
 }
 
-// listen opens a port that is closed at the end: a process would just end with it.
+// listen opens a port that is closed at the end of the test, as it would be with its process.
 func (f *fleet) listen(addr string) (net.Listener, error) {
 	l, err := f.net.Listen(addr)
 	if err == nil {
@@ -178,17 +179,17 @@
 	return l, err
 }
 
-// line is what a host wrote of an upstream, of the configuration or of its end.
-type line struct {
+// logLine is a line that a host logged about an upstream, the configuration or its end.
+type logLine struct {
 	host, text, target string
 	at                 time.Time
 	version            int64
 	leaves             bool
 }
 
-// note keeps what a host writes.
-func (f *fleet) note(host, text string, fields []zapcore.Field) {
-	one := line{host: host, text: text, at: time.Now()}
+// record keeps a line that a host logged.
+func (f *fleet) record(host, text string, fields []zapcore.Field) {
+	one := logLine{host: host, text: text, at: time.Now()}
 	for _, field := range fields {
 		switch field.Key {
 		case "target":
@@ -201,38 +202,39 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.said = append(f.said, one)
+	f.logged = append(f.logged, one)
 }
 
-// lines notes what a host writes of upstreams that leave.
-type lines struct {
+// logCore records the lines of one host.
+type logCore struct {
 	fleet *fleet
 	host  string
 }
 
-func (l *lines) Enabled(zapcore.Level) bool { return true }
+func (l *logCore) Enabled(zapcore.Level) bool { return true }
 
-func (l *lines) With([]zapcore.Field) zapcore.Core { return l }
+func (l *logCore) With([]zapcore.Field) zapcore.Core { return l }
 
-func (l *lines) Sync() error { return nil }
+func (l *logCore) Sync() error { return nil }
 
-func (l *lines) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (l *logCore) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	return c.AddCore(e, l)
 }
 
-func (l *lines) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	if strings.HasPrefix(e.Message, "upstream ") || e.Message == "configuration applied" || e.Message == "hosts lost" || e.Message == "stopped" {
-		l.fleet.note(l.host, e.Message, fields)
+func (l *logCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
+	if strings.HasPrefix(e.Message, "upstream ") || e.Message == "configuration applied" ||
+		e.Message == "hosts lost" || e.Message == "stopped" {
+		l.fleet.record(l.host, e.Message, fields)
 	}
 	if e.Message == "upstream found" {
 		l.fleet.mu.Lock()
 		defer l.fleet.mu.Unlock()
-		l.fleet.found[l.host]++
+		l.fleet.foundCount[l.host]++
 	}
 	if e.Message == "engine taken" {
 		l.fleet.mu.Lock()
 		defer l.fleet.mu.Unlock()
-		l.fleet.taken[fields[0].String] = l.host
+		l.fleet.owners[fields[0].String] = l.host
 	}
 	if e.Message != "upstream leaves" && e.Message != "upstream gone" {
 		return nil
@@ -243,45 +245,45 @@
 		if f.Key != "target" {
 			continue
 		}
-		if l.fleet.knew[f.String] == nil {
-			l.fleet.knew[f.String] = map[string]time.Time{}
+		if l.fleet.learnedAt[f.String] == nil {
+			l.fleet.learnedAt[f.String] = map[string]time.Time{}
 		}
-		if l.fleet.knew[f.String][l.host].IsZero() {
-			l.fleet.knew[f.String][l.host] = time.Now()
+		if l.fleet.learnedAt[f.String][l.host].IsZero() {
+			l.fleet.learnedAt[f.String][l.host] = time.Now()
 		}
 	}
 	return nil
 }
 
-// wantKnown checks that each host learned within a bound of each upstream that left.
-func (f *fleet) wantKnown(bound time.Duration) {
+// wantLeavesLearned checks that each host learned within a bound of each upstream that left.
+func (f *fleet) wantLeavesLearned(bound time.Duration) {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	late, worst, longest := 0, "", time.Duration(0)
-	for id, left := range f.left {
+	for id, left := range f.leftAt {
 		for _, host := range f.hosts {
-			after := f.knew[id][host].Sub(left)
-			if f.knew[id][host].IsZero() {
+			after := f.learnedAt[id][host].Sub(left)
+			if f.learnedAt[id][host].IsZero() {
 				after = time.Since(left)
 			}
 			if after > bound {
 				late++
 			}
 			if after > longest {
-				longest, worst = after, fmt.Sprintf("%s at %s, left at %v", id, host, left.Sub(f.begun))
+				longest, worst = after, fmt.Sprintf("%s at %s, left at %v", id, host, left.Sub(f.startedAt))
 			}
 		}
 	}
 	f.t.Logf("latest after %v: %s", longest, worst)
 	if late > 0 {
-		f.t.Errorf("%d times a host learned of a leaving later than %v, latest %v: %s", late, bound, longest, worst)
+		f.t.Errorf("%d times a host learned that an upstream leaves later than %v, latest %v: %s", late, bound, longest, worst)
 	}
 }
 
-// turnAway has the store refuse a part of the hosts.
-func (f *fleet) turnAway(luck *rand.Rand, share float64) {
-	for _, i := range luck.Perm(len(f.hosts))[:int(share*float64(len(f.hosts)))] {
+// refuseHosts has the store refuse a random part of the hosts.
+func (f *fleet) refuseHosts(rng *rand.Rand, share float64) {
+	for _, i := range rng.Perm(len(f.hosts))[:int(share*float64(len(f.hosts)))] {
 		f.store.refuse(f.hosts[i], true)
 	}
 }
--- a/internal/edge/leave.go
+++ b/internal/edge/leave.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// stayFor is how long a leaving host serves as before: lookups stop naming it at once, and callers keep their answers.
-	stayFor = 2 * time.Second
-	// endSlack is how much of the grace is kept for the end of the process itself.
-	endSlack = 600 * time.Millisecond
-	// lastAnswers is how long before that a leaving host gives the requests that it still has their final answers.
-	lastAnswers = 250 * time.Millisecond
-	// leastIdle is how long a connection to a leaving host must have been idle to be closed: the next request of a caller
-	// that has just got an answer is likely.
-	leastIdle = 50 * time.Millisecond
+	// leaveDelay is how long a leaving host serves as before: lookups stop naming it at once, but callers cache their answers.
+	leaveDelay = 2 * time.Second
+	// exitReserve is the part of the grace period kept for the exit of the process itself.
+	exitReserve = 600 * time.Millisecond
+	// finalAnswerReserve is how long before that a leaving host sends pending requests their final answers.
+	finalAnswerReserve = 250 * time.Millisecond
+	// minIdle is how long a connection to a leaving host must be idle to be closed: a caller that just got an answer is likely to send its
+	// next request.
+	minIdle = 50 * time.Millisecond
 )
 
-// late reports whether a request that comes now may not end before the host does. Streams run for seconds; a caller whose
-// stream began before the signal may send its next request on the same connection at any time.
-func (e *Edge) late() bool {
+// stopsSoon reports whether a request arriving now may not finish before the host exits. Streams run for seconds; a caller whose stream
+// began before the signal may send its next request on the same connection at any time.
+func (e *Edge) stopsSoon() bool {
 	if !e.leaving.Load() {
 		return false
 	}
-	return time.Since(time.Unix(0, e.leftAt.Load())) > min(stayFor, e.Setup().Grace/3)+leastIdle
+	return time.Since(time.Unix(0, e.leavingSince.Load())) > min(leaveDelay, e.Setup().Grace/3)+minIdle
 }
 
-// leave takes the host out of lookups, serves on while callers keep their answers, and then waits until no caller has a connection any more. Where
-// one still has when little of the grace is left, it calls end, which gives the requests that have no answer yet their final ones: a connection
-// that is closed instead would not tell the caller whether the request ran.
+// leave takes the host out of lookups, serves on while callers use cached answers, and then waits until no caller is connected. If some
+// still are shortly before the grace period ends, it calls end, which sends pending requests their final answers: closing their connections
+// instead would not tell the callers whether the requests ran.
 func (e *Edge) leave(callers net.Listener, end func()) {
-	began := time.Now()
-	grace := e.Setup().Grace - endSlack
-	e.leftAt.Store(began.UnixNano())
+	start := time.Now()
+	grace := e.Setup().Grace - exitReserve
+	e.leavingSince.Store(start.UnixNano())
 	e.leaving.Store(true)
 	e.Log.Info("leaving", zap.Duration("grace", grace))
-	time.Sleep(min(stayFor, grace/3))
+	time.Sleep(min(leaveDelay, grace/3))
 	if err := callers.Close(); err != nil {
-		e.Log.Debug("port for callers not closed", zap.Error(err))
+		e.Log.Debug("failed to close the listener for callers", zap.Error(err))
 	}
-	left := e.drain(began.Add(grace - lastAnswers))
+	left := e.drain(start.Add(grace - finalAnswerReserve))
 	if left > 0 {
 		end()
-		left = e.drain(began.Add(grace))
+		left = e.drain(start.Add(grace))
 	}
-	e.Log.Info("stopped", zap.Duration("after", time.Since(began)), zap.Int("connections", left))
+	e.Log.Info("stopped", zap.Duration("after", time.Since(start)), zap.Int("connections", left))
 }
 
-// drain closes callers' connections as they become idle, until none is left, nor one to an upstream that another host uses, or the time has come, and
+// drain closes callers' connections as they become idle until none is left, nor one forwarded for another host, or the deadline passes. It
 // returns how many are left.
-func (e *Edge) drain(until time.Time) int {
+func (e *Edge) drain(deadline time.Time) int {
 	for {
-		left := e.conns.CloseIdle(leastIdle) + int(e.passes.Load())
-		rest := time.Until(until)
-		if left == 0 || rest <= 0 {
+		left := e.conns.CloseIdle(minIdle) + int(e.forwardedConns.Load())
+		remaining := time.Until(deadline)
+		if left == 0 || remaining <= 0 {
 			return left
 		}
-		time.Sleep(min(leastIdle, rest))
+		time.Sleep(min(minIdle, remaining))
 	}
 }
--- a/internal/edge/leave_test.go
+++ b/internal/edge/leave_test.go
@@ -11,81 +11,81 @@
 	"time"
 )
 
-// atHost is what must be left of the time until an upstream that leaves may get no new work, for what a request takes at its host
-// after the choice: a connection, or another upstream that rejects it first.
-const atHost = 500 * time.Millisecond
+// routingReserve is the part of the drain time kept for what a request needs at its host after routing: a connection, or a rejection by
+// another upstream first.
+const routingReserve = 500 * time.Millisecond
 
-// seeds is how many plays there are, more for runs by hand.
-var seeds = flag.Uint64("seeds", 4, "plays of hosts and upstreams that leave")
+// seeds is the number of random runs of each test; runs by hand use more.
+var seeds = flag.Uint64("seeds", 4, "random runs of each test")
 
-// The store turns a third of the hosts away for some seconds; afterwards upstreams begin to leave. Each host must
-// learn of it while requests that are under way to the upstream still reach it in time, whoever reads the store for it.
-func TestLeavingIsKnownEverywhereInTime(t *testing.T) {
+// The store refuses a third of the hosts for some seconds; then upstreams begin to leave. Each host must learn of it in time for requests
+// in flight to reach the upstream, whichever host reads the store for it.
+func TestAllHostsLearnOfLeavingInTime(t *testing.T) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				luck := rand.New(rand.NewPCG(seed, 27))
+				rng := rand.New(rand.NewPCG(seed, 27))
 				f := newFleet(t, 24, 4, 112)
 				time.Sleep(15 * time.Second)
-				f.turnAway(luck, 0.35)
+				f.refuseHosts(rng, 0.35)
 				time.Sleep(9 * time.Second)
-				f.store.serve()
+				f.store.serveAll()
 				next := 0
 				for range 60 {
-					time.Sleep(time.Duration(luck.IntN(500)) * time.Millisecond)
+					time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 					f.leave(fmt.Sprint("u", next))
 					next++
 				}
-				time.Sleep(drain)
-				f.wantKnown(drain - atHost)
+				time.Sleep(drainTime)
+				f.wantLeavesLearned(drainTime - routingReserve)
 			})
 		})
 	}
 }
 
-// Upstreams begin to leave while the store turns some hosts away, refusing them or answering nothing, or is slow to all, in turn and again
-// and again. Those that it serves must know in time whoever read for them before, and so must those that only hear of it from others.
-func TestLeavingIsKnownInTimeDuringTrouble(t *testing.T) {
+// Upstreams begin to leave while the store refuses some hosts, leaves them without an answer, or is slow to all, in turn. Hosts that it
+// serves must learn in time whichever host read for them before, and so must those that hear of it only from others.
+func TestHostsLearnOfLeavingDuringStoreFaults(t *testing.T) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				luck := rand.New(rand.NewPCG(seed, 28))
+				rng := rand.New(rand.NewPCG(seed, 28))
 				f := newFleet(t, 24, 4, 112)
 				time.Sleep(15 * time.Second)
 				next := 0
 				for range 4 {
-					f.store.harm(luck.IntN(2) == 0, time.Duration(luck.IntN(2))*200*time.Millisecond)
-					f.turnAway(luck, 0.1+0.3*luck.Float64())
+					f.store.setFaults(rng.IntN(2) == 0, time.Duration(rng.IntN(2))*200*time.Millisecond)
+					f.refuseHosts(rng, 0.1+0.3*rng.Float64())
 					for range 10 {
-						time.Sleep(time.Duration(luck.IntN(1000)) * time.Millisecond)
+						time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 						f.leave(fmt.Sprint("u", next))
 						next++
 					}
-					f.store.serve()
-					time.Sleep(time.Duration(luck.IntN(4000)) * time.Millisecond)
+					f.store.serveAll()
+					time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				}
-				time.Sleep(drain)
-				f.wantKnown(drain - atHost)
+				time.Sleep(drainTime)
+				f.wantLeavesLearned(drainTime - routingReserve)
 			})
 		})
 	}
 }
 
-// The store forgets its history now and then while upstreams vanish without a word. The hosts that read find out from what a list of all
-// registrations lacks, and must tell the others.
-func TestVanishingIsKnownEverywhereInTime(t *testing.T) {
+// The store drops its history now and then while upstreams vanish without notice. Hosts that read notice what a full list lacks, and must
+// tell the others.
+func TestAllHostsLearnOfVanishedUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		luck := rand.New(rand.NewPCG(1, 27))
+		rng := rand.New(rand.NewPCG(1, 27))
 		f := newFleet(t, 24, 4, 112)
 		time.Sleep(15 * time.Second)
 		for next := range 30 {
-			time.Sleep(time.Duration(luck.IntN(800)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 			f.vanish(fmt.Sprint("u", next))
 			if next%5 == 0 {
-				f.store.forget()
+				f.store.compact()
 			}
 		}
-		time.Sleep(drain)
-		f.wantKnown(drain - atHost)
+		time.Sleep(drainTime)
+		f.wantLeavesLearned(drainTime - routingReserve)
 	})
 }
--- a/internal/edge/limit_test.go
+++ b/internal/edge/limit_test.go
@@ -15,18 +15,18 @@
 	"damaskreach/internal/tenure"
 )
 
-// limitSlack is what may run beside a tenth over the limit in any window, as the users allow.
+// limitSlack is how many units may run beside a tenth over the limit in any window, as the users allow.
 const (
 	limitSlack  = 11000
 	limitWindow = 8 * time.Second
-	// inForce is within which a configuration counts on all hosts in touch.
-	inForce = 3 * time.Second
-	// limitSeeds is how many plays of limits there are at least.
+	// confDelay is the time within which a configuration applies on all connected hosts.
+	confDelay = 3 * time.Second
+	// limitSeeds is the minimum number of random runs.
 	limitSeeds = 8
 )
 
-// small, middle and busy are teams limited by tokens; busy asks for many times its limit for a while.
-func limited(version int64) []team.Team {
+// limitedTeams returns teams limited by tokens; the second version lowers the limit of busy, which asks for many times as much for a while.
+func limitedTeams(version int64) []team.Team {
 	teams := []team.Team{
 		{Name: "small", Tokens: true, Rate: 2700, Burst: 2700},
 		{Name: "middle", Tokens: true, Rate: 20000, Burst: 20000},
@@ -38,42 +38,41 @@
 	return teams
 }
 
-// prompt draws a request's units: most are short, some long.
-func prompt(luck *rand.Rand) int {
-	return min(4000, 200+int(luck.ExpFloat64()*1000))
+// randomPrompt returns the units of a request: most are short, some long.
+func randomPrompt(rng *rand.Rand) int {
+	return min(4000, 200+int(rng.ExpFloat64()*1000))
 }
 
-// Hosts die, are cut off from each other, freeze, start again and lose the store, all at once in the end, again and again, and limits are lowered and raised
-// meanwhile, while one team asks for many times its limit. In no span does more of any team run than its limit allows; what is asked below
-// the limit is served once hosts are in touch. Were a part given out by two hosts, or a second time by a host that starts again, a
-// team would get it twice.
-func TestLimitsHoldOverAllHostsThroughTrouble(t *testing.T) {
-	plays := []uint64{43, 137, 150, 177} // long requests at once, of which none was served
+// Hosts crash, freeze, restart, lose the store and each other, and in the end all power, while limits change and one team asks for many
+// times its limit. In no window may more of a team run than its limit allows; what is asked below the limit is served once hosts are
+// connected. If two hosts, or a host and its own restart, granted one part of a limit, a team would get it twice.
+func TestLimitsHoldAcrossHostsDuringFaults(t *testing.T) {
+	runSeeds := []uint64{43, 137, 150, 177} // seeds with long requests in succession of which none was served
 	for seed := range max(limitSeeds, *seeds) {
-		plays = append(plays, seed)
+		runSeeds = append(runSeeds, seed)
 	}
-	for _, seed := range plays {
+	for _, seed := range runSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				luck := rand.New(rand.NewPCG(seed, 29))
-				p := newPayers(t, 18, 3, 4, limited)
+				rng := rand.New(rand.NewPCG(seed, 29))
+				p := newTeamFleet(t, 18, 3, 4, limitedTeams)
 				time.Sleep(14 * time.Second)
 				ctx, cancel := context.WithCancel(t.Context())
 				t.Cleanup(cancel)
-				calm := time.Now()
-				p.load(ctx, seed, "small", 1.2, prompt)
-				p.load(ctx, seed+1, "middle", 9, prompt)
-				p.load(ctx, seed+2, "busy", 18, prompt)
+				calmStart := time.Now()
+				p.generateLoad(ctx, seed, "small", 1.2, randomPrompt)
+				p.generateLoad(ctx, seed+1, "middle", 9, randomPrompt)
+				p.generateLoad(ctx, seed+2, "busy", 18, randomPrompt)
 				time.Sleep(8 * time.Second)
-				p.wantAllServed("calm", calm)
-				hot, cool := context.WithCancel(ctx)
-				p.load(hot, seed+3, "busy", 200, prompt)
-				lowered, raised := p.trouble(luck)
+				p.wantAllServed("calm", calmStart)
+				burstCtx, endBurst := context.WithCancel(ctx)
+				p.generateLoad(burstCtx, seed+3, "busy", 200, randomPrompt)
+				lowered, raised := p.injectFaults(rng)
 				for range 3 {
-					p.loseAll(luck)
+					p.powerCycle(rng)
 					time.Sleep(1500 * time.Millisecond)
 				}
-				cool()
+				endBurst()
 				time.Sleep(10 * time.Second)
 				after := time.Now()
 				time.Sleep(8 * time.Second)
@@ -81,18 +80,18 @@
 				cancel()
 				time.Sleep(2 * time.Second)
 				for _, name := range []string{"small", "middle", "busy"} {
-					p.wantWithin(name, limitWindow, p.limit(name, lowered, raised), limitSlack)
+					p.wantUnitsWithin(name, limitWindow, p.limitAt(name, lowered, raised), limitSlack)
 				}
 			})
 		})
 	}
 }
 
-// limit returns the highest limit of a team that may count for what runs in a window that begins at a time.
-func (p *payers) limit(name string, lowered, raised time.Time) func(at time.Time) (rate, burst float64) {
+// limitAt returns the highest limit of a team that may apply to what runs in a window that begins at a time.
+func (p *teamFleet) limitAt(name string, lowered, raised time.Time) func(at time.Time) (rate, burst float64) {
 	return func(at time.Time) (rate, burst float64) {
 		version := int64(1)
-		if at.After(lowered.Add(inForce+limitWindow)) && at.Add(limitWindow).Before(raised) {
+		if at.After(lowered.Add(confDelay+limitWindow)) && at.Add(limitWindow).Before(raised) {
 			version = 2
 		}
 		for _, t := range p.teams(version) {
@@ -104,27 +103,27 @@
 	}
 }
 
-// wantAllServed checks what all teams asked below their limits since a time.
-func (p *payers) wantAllServed(when string, from time.Time) {
+// wantAllServed checks that what all teams asked below their limits since a time was served.
+func (p *teamFleet) wantAllServed(when string, from time.Time) {
 	p.t.Helper()
-	for _, t := range limited(1) {
+	for _, t := range limitedTeams(1) {
 		p.wantServed(when, from, time.Now(), t)
 	}
 }
 
-// trouble harms hosts one after the other and some at once, and lowers and raises limits.
-func (p *payers) trouble(luck *rand.Rand) (lowered, raised time.Time) {
+// injectFaults harms random hosts, some at the same time, and lowers and raises limits.
+func (p *teamFleet) injectFaults(rng *rand.Rand) (lowered, raised time.Time) {
 	for step := range 12 {
-		host := luck.IntN(len(p.hosts))
+		host := rng.IntN(len(p.hosts))
 		ip := p.hosts[host]
-		lasts := time.Duration(500+luck.IntN(5000)) * time.Millisecond
-		switch luck.IntN(4) {
+		lasts := time.Duration(500+rng.IntN(5000)) * time.Millisecond
+		switch rng.IntN(4) {
 		case 0:
 			p.kill(ip)
-			time.AfterFunc(lasts, func() { p.again(host) })
+			time.AfterFunc(lasts, func() { p.restart(host) })
 		case 1:
-			p.part(ip, true)
-			time.AfterFunc(lasts, func() { p.part(ip, false) })
+			p.partition(ip, true)
+			time.AfterFunc(lasts, func() { p.partition(ip, false) })
 		case 2:
 			p.net.Freeze(ip)
 			time.AfterFunc(lasts, func() { p.net.Thaw(ip) })
@@ -140,55 +139,55 @@
 			p.store.put("op/config", "3")
 			raised = time.Now()
 		}
-		time.Sleep(time.Duration(500+luck.IntN(3000)) * time.Millisecond)
+		time.Sleep(time.Duration(500+rng.IntN(3000)) * time.Millisecond)
 	}
 	time.Sleep(6 * time.Second)
 	return lowered, raised
 }
 
-// again starts the program on a host whose last start was killed.
-func (p *payers) again(host int) {
-	if p.dead(p.life(p.hosts[host])) {
+// restart starts the process on a host whose last one was killed.
+func (p *teamFleet) restart(host int) {
+	if p.isDead(p.process(p.hosts[host])) {
 		p.start(p.ctx, host)
 	}
 }
 
-func (p *payers) life(ip string) *life {
+func (p *teamFleet) process(ip string) *process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives[ip]
+	return p.processes[ip]
 }
 
-// loseAll has all hosts lose power at once, and start again.
-func (p *payers) loseAll(luck *rand.Rand) {
+// powerCycle has all hosts lose power at once and start again.
+func (p *teamFleet) powerCycle(rng *rand.Rand) {
 	for _, ip := range p.hosts {
 		p.kill(ip)
 	}
 	time.Sleep(time.Second)
 	for i := range p.hosts {
-		time.Sleep(time.Duration(luck.IntN(20)) * time.Millisecond)
-		p.again(i)
+		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
+		p.restart(i)
 	}
 }
 
-// A team asks for many times its limit. Others' requests are served as before, and as soon.
-func TestTeamOverItsLimitCostsOthersNothing(t *testing.T) {
+// A team asks for many times its limit. Requests of other teams must be served as fast as before.
+func TestTeamOverLimitDoesNotSlowOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPayers(t, 12, 3, 4, limited)
+		p := newTeamFleet(t, 12, 3, 4, limitedTeams)
 		time.Sleep(14 * time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		t.Cleanup(cancel)
-		p.load(ctx, 1, "middle", 9, prompt)
-		p.load(ctx, 2, "busy", 400, prompt)
-		begun := time.Now()
+		p.generateLoad(ctx, 1, "middle", 9, randomPrompt)
+		p.generateLoad(ctx, 2, "busy", 400, randomPrompt)
+		start := time.Now()
 		time.Sleep(12 * time.Second)
 		cancel()
 		time.Sleep(2 * time.Second)
-		p.wantServed("beside a busy team", begun, time.Now(), limited(1)[1])
-		p.wantWithin("busy", limitWindow, p.limit("busy", time.Now(), time.Now()), limitSlack)
+		p.wantServed("beside a busy team", start, time.Now(), limitedTeams(1)[1])
+		p.wantUnitsWithin("busy", limitWindow, p.limitAt("busy", time.Now(), time.Now()), limitSlack)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		for _, s := range p.said {
+		for _, s := range p.results {
 			if s.team == "middle" && s.took > 100*time.Millisecond {
 				t.Errorf("a request of another team took %v, want 100 ms at most", s.took)
 			}
@@ -199,27 +198,27 @@
 	})
 }
 
-// The store is away from all hosts for as long as a lease lasts. Nobody else can have got a part of a limit by then, and its host goes on counting.
-// Were it to stop with its lease, every request of a team with a limit would be refused, though the team asks for a fraction of what it may.
-func TestLimitsAreCountedWhileNobodyCanHaveFollowed(t *testing.T) {
+// No host reaches the store for the duration of a lease. No other host can own a part of a limit by then, so its owner goes on counting.
+// If it stopped, all requests of teams with a limit would be refused, though they ask for a fraction of it.
+func TestLimitsAreCountedWhileStoreIsDownForOneLease(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPayers(t, 18, 3, 4, limited)
+				p := newTeamFleet(t, 18, 3, 4, limitedTeams)
 				time.Sleep(14*time.Second + time.Duration(seed)*600*time.Millisecond)
 				ctx, cancel := context.WithCancel(t.Context())
 				t.Cleanup(cancel)
-				begun := time.Now()
-				p.load(ctx, seed, "small", 1.2, prompt)
-				p.load(ctx, seed+1, "middle", 9, prompt)
+				start := time.Now()
+				p.generateLoad(ctx, seed, "small", 1.2, randomPrompt)
+				p.generateLoad(ctx, seed+1, "middle", 9, randomPrompt)
 				time.Sleep(time.Second)
 				for _, host := range p.hosts {
 					p.store.refuse(host, true)
 				}
 				time.Sleep(tenure.Lease)
-				p.store.serve()
+				p.store.serveAll()
 				time.Sleep(3 * time.Second)
-				p.wantAllServed("with the store away", begun)
+				p.wantAllServed("with the store away", start)
 			})
 		})
 	}
--- a/internal/edge/gauge.go
+++ b/internal/edge/metrics.go
@@ -15,37 +15,37 @@
 	"damaskreach/internal/table"
 )
 
-// unknown is the age of what this host has never learned.
-const unknown = -1
+// unknownAge is the age reported for data that this host never received.
+const unknownAge = -1
 
-// metrics answers scrapers.
-func (e *Edge) metrics(w http.ResponseWriter, _ *http.Request) {
+// serveMetrics answers scrapes.
+func (e *Edge) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", prom.Kind)
 	if err := e.Stats.Write(w); err != nil {
-		e.Log.Debug("metrics not written", zap.Error(err))
+		e.Log.Debug("failed to write metrics", zap.Error(err))
 	}
 }
 
-// gauges adds the values that are read at each scrape: how much this host knows, and how old that is.
-func (e *Edge) gauges() {
+// registerGauges registers the values read at each scrape: how much this host knows, and how old that is.
+func (e *Edge) registerGauges() {
 	age := func(belief string, read func() float64) { e.Stats.Gauge(stats.Age, read, "belief", belief) }
 	age("upstreams", func() float64 {
 		if _, read := e.intake.Age(); !read {
-			return unknown
+			return unknownAge
 		}
-		return e.relied().Seconds()
+		return e.readAge().Seconds()
 	})
 	age("configuration", func() float64 {
 		old, ok := e.intake.ConfAge()
 		if !ok {
-			return unknown
+			return unknownAge
 		}
 		return old.Seconds()
 	})
 	age("hosts", func() float64 {
 		m := e.mates.Load()
 		if m == nil {
-			return unknown
+			return unknownAge
 		}
 		return m.Oldest().Seconds()
 	})
@@ -54,7 +54,7 @@
 	e.Stats.Gauge(stats.Engines, func() float64 { return float64(len(e.tenure.Mine())) })
 	e.Stats.Gauge(stats.Upstreams, func() float64 { return float64(len(e.intake.View().Targets)) })
 	e.Stats.Gauge(stats.Unreached, func() float64 { return e.reach.Cut().Seconds() })
-	e.Stats.Gauge(stats.Passed, func() float64 { return float64(e.passes.Load()) })
+	e.Stats.Gauge(stats.Passed, func() float64 { return float64(e.forwardedConns.Load()) })
 	e.Stats.Gauge(stats.Hosts, func() float64 {
 		m := e.mates.Load()
 		if m == nil {
@@ -64,51 +64,51 @@
 	})
 }
 
-// measured times and counts the calls to the store, by the rows that they are about.
-func measured(t table.Table, s *stats.Stats) table.Table {
-	note := func(call, key string, begun time.Time, err error) {
+// withMetrics wraps the store to time and count its calls by row group.
+func withMetrics(t table.Table, s *stats.Stats) table.Table {
+	note := func(call, key string, start time.Time, err error) {
 		group, _, _ := strings.Cut(key, "/")
-		s.Time(stats.Store, time.Since(begun), "call", call, "rows", group)
+		s.Time(stats.Store, time.Since(start), "call", call, "rows", group)
 		if err != nil {
-			s.Add(stats.StoreFails, 1, "call", call, "rows", group, "error", failure(err))
+			s.Add(stats.StoreFails, 1, "call", call, "rows", group, "error", errorLabel(err))
 		}
 	}
 	return table.Table{
 		Read: func(ctx context.Context, key string) (rows.Row, error) {
-			begun := time.Now()
+			start := time.Now()
 			row, err := t.Read(ctx, key)
-			note("read", key, begun, err)
+			note("read", key, start, err)
 			return row, err
 		},
 		List: func(ctx context.Context, prefix string) ([]rows.Row, int64, error) {
-			begun := time.Now()
+			start := time.Now()
 			list, rev, err := t.List(ctx, prefix)
-			note("list", prefix, begun, err)
+			note("list", prefix, start, err)
 			return list, rev, err
 		},
 		First: func(ctx context.Context, prefix string, limit int) ([]rows.Row, int64, bool, error) {
-			begun := time.Now()
+			start := time.Now()
 			list, rev, more, err := t.First(ctx, prefix, limit)
-			note("first", prefix, begun, err)
+			note("first", prefix, start, err)
 			return list, rev, more, err
 		},
 		Write: func(ctx context.Context, edits ...rows.Row) (int64, error) {
-			begun := time.Now()
+			start := time.Now()
 			rev, err := t.Write(ctx, edits...)
-			note("write", edits[0].Key, begun, err)
+			note("write", edits[0].Key, start, err)
 			return rev, err
 		},
 		Tail: func(ctx context.Context, prefix string, after int64) ([]rows.Row, int64, error) {
-			begun := time.Now()
+			start := time.Now()
 			list, rev, err := t.Tail(ctx, prefix, after)
-			note("tail", prefix, begun, err)
+			note("tail", prefix, start, err)
 			return list, rev, err
 		},
 	}
 }
 
-// failure names an error of the store.
-func failure(err error) string {
+// errorLabel returns the metric label of a store error.
+func errorLabel(err error) string {
 	names := map[string]error{
 		"conflict": table.ErrConflict, "down": table.ErrDown, "absent": table.ErrAbsent, "compacted": table.ErrCompacted,
 		"invalid": table.ErrInvalid,
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -23,45 +23,45 @@
 )
 
 const (
-	// pingEvery and cutAfter find connections to other hosts that fell silent without a reset, before the hosts would count
-	// as dead.
-	pingEvery = 400 * time.Millisecond
-	cutAfter  = 1200 * time.Millisecond
-	// redialLeast and redialMost bound the pause before a host is dialled again.
-	redialLeast = 100 * time.Millisecond
-	redialMost  = 700 * time.Millisecond
-	// modelStep is the time between hosts that may begin to load a base model: a message between hosts and some; mostFirst is
-	// how many of them it counts.
-	modelStep = 250 * time.Millisecond
-	mostFirst = 8
-	// spentFor bounds telling a host that a turn has ended; it does not matter to it any more after that.
-	spentFor = 500 * time.Millisecond
-	// secretWait is the pause before the hosts' secret is looked for again.
-	secretWait = 50 * time.Millisecond
+	// pingInterval and pingTimeout detect connections to other hosts that broke silently, before the hosts would count as dead.
+	pingInterval = 400 * time.Millisecond
+	pingTimeout  = 1200 * time.Millisecond
+	// minRedialDelay and maxRedialDelay bound the delay before a host is dialled again.
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 700 * time.Millisecond
+	// modelLoadStep is the delay between hosts that may start to load a base model: a little more than a message between hosts takes.
+	// maxModelLoadSteps bounds how many hosts one waits for.
+	modelLoadStep     = 250 * time.Millisecond
+	maxModelLoadSteps = 8
+	// turnEndTimeout bounds reporting the end of a turn; after that it is of no use to the granting host.
+	turnEndTimeout = 500 * time.Millisecond
+	// secretPollInterval is the delay before the hosts' shared secret is looked for again.
+	secretPollInterval = 50 * time.Millisecond
 )
 
-// What hosts ask each other.
+// Methods of calls between hosts.
 const (
-	methodTell   = "tell"
-	methodAdmit  = "admit"
-	methodCharge = "charge"
-	methodPermit = "permit"
-	methodSpent  = "spent"
-	methodPiece  = "piece"
-	methodPass   = "pass"
+	methodTell    = "tell"
+	methodAdmit   = "admit"
+	methodCharge  = "charge"
+	methodPermit  = "permit"
+	methodSpent   = "spent"
+	methodPiece   = "piece"
+	methodForward = "pass"
 )
 
-// runPeers joins the other hosts once their secret is known.
+// runPeers joins the other hosts once their shared secret is known.
 func (e *Edge) runPeers(ctx context.Context, s setup.Setup) {
 	for e.tenure.Secret() == nil {
-		if !turns.Sleep(ctx, secretWait) {
+		if !turns.Sleep(ctx, secretPollInterval) {
 			return
 		}
 	}
 	mesh := peer.NewMesh(s.IP, [][]byte{e.tenure.Secret()}, e.Dial, e.Log).WithAddr(s.Peers).
-		WithBounds(bounds.NewBounds().WithKeepalive(pingEvery, cutAfter).WithBackoff(redialLeast, redialMost))
+		WithBounds(bounds.NewBounds().WithKeepalive(pingInterval, pingTimeout).WithBackoff(minRedialDelay, maxRedialDelay))
 	m := mates.NewMates(s.Mate())
-	m.Hosts, m.Roster, m.Own, m.Add, m.Hear, m.Log = e.tenure.Hosts, e.roster, e.own, e.addFeeds, func(g gossip.Gossip) { e.hear(ctx, g) }, e.Log
+	m.Hosts, m.Roster, m.Own, m.Add, m.Hear, m.Log = e.tenure.Hosts, e.roster, e.ownStatus, e.addFeeds,
+		func(g gossip.Gossip) { e.applyGossip(ctx, g) }, e.Log
 	m.Ask = func(ctx context.Context, to mate.Mate, g gossip.Gossip) (answer gossip.Gossip, err error) {
 		err = mesh.Ask(ctx, to.Peers, methodTell, g, &answer)
 		return answer, err
@@ -70,15 +70,15 @@
 		return m.Answer(g), nil
 	})
 	peer.Answer(mesh, methodAdmit, func(ctx context.Context, _ string, w want.Want) (string, error) {
-		e.learnLimit(w)
+		e.applyLimit(w)
 		return want.Text(e.giver.Admit(ctx, w)), nil
 	})
 	peer.Answer(mesh, methodSpent, func(_ context.Context, _ string, s spent.Spent) (struct{}, error) {
-		e.ended(s)
+		e.endTurn(s)
 		return struct{}{}, nil
 	})
 	peer.Answer(mesh, methodPermit, func(_ context.Context, _ string, w want.Want) (ruling.Ruling, error) {
-		return e.counted(w), nil
+		return e.countHere(w), nil
 	})
 	peer.Answer(mesh, methodPiece, func(_ context.Context, from string, q piece.Piece) (chunk.Chunk, error) {
 		return e.depot.Answer(from, q)
@@ -86,42 +86,42 @@
 	peer.Answer(mesh, methodCharge, func(_ context.Context, _ string, c charge.Charge) (ruling.Ruling, error) {
 		return e.quotas.Charge(c), nil
 	})
-	mesh.Handle(methodPass, e.pass)
+	mesh.Handle(methodForward, e.forwardConn)
 	l, err := e.Listen(s.Peers)
 	if err != nil {
-		e.Log.Error("no port for other hosts", zap.String("addr", s.Peers), zap.Error(err))
+		e.Log.Error("failed to listen for other hosts", zap.String("addr", s.Peers), zap.Error(err))
 		return
 	}
 	e.mesh.Store(mesh)
 	e.mates.Store(m)
 	go m.Run(ctx)
 	if err := mesh.Serve(ctx, l); err != nil {
-		e.Log.Error("port for other hosts lost", zap.Error(err))
+		e.Log.Error("listener for other hosts failed", zap.Error(err))
 	}
 }
 
-// old returns how old what other hosts tell may be.
-func (e *Edge) old() time.Duration {
+// maxGossipAge returns how old information from other hosts may be.
+func (e *Edge) maxGossipAge() time.Duration {
 	if m := e.mates.Load(); m != nil {
 		return m.Times().Old()
 	}
-	return selfEvery
+	return selfReportInterval
 }
 
-// unused returns how long no use of an adapter must have been heard of for it to be taken as unused.
-func (e *Edge) unused() time.Duration {
+// unusedAfter returns how long an adapter must have no reported use to count as unused.
+func (e *Edge) unusedAfter() time.Duration {
 	if m := e.mates.Load(); m != nil {
 		return m.Times().Unused()
 	}
-	return selfEvery
+	return selfReportInterval
 }
 
-// hear takes what another host said.
-func (e *Edge) hear(ctx context.Context, g gossip.Gossip) {
+// applyGossip applies a message from another host.
+func (e *Edge) applyGossip(ctx context.Context, g gossip.Gossip) {
 	now := time.Now()
 	e.feeds.Hear(g.IP, g.Known, g.Feeds)
-	e.hearNamed(ctx, g)
-	e.hearMarks(g, now)
+	e.fetchNamed(ctx, g)
+	e.applyMarks(g, now)
 	for _, b := range g.Hosts {
 		for id, n := range b.Loads {
 			e.pick.Told(id, n, now)
@@ -129,7 +129,7 @@
 		for id, ms := range b.Waits {
 			e.pick.Waits(id, time.Duration(ms)*time.Millisecond, now)
 		}
-		e.news.loading(b.IP, b.Models)
+		e.activity.setModelLoads(b.IP, b.Models)
 	}
 	for _, s := range g.Held {
 		e.holds.Tell(s.ID, s.Born, s.Sequence, s.Adapters)
@@ -139,32 +139,31 @@
 	e.giver.RecordUsage(g.Uses, now)
 }
 
-// learn takes what an engine holds that this host orders.
-func (e *Edge) learn(s stock.Stock) {
+// applyStock applies the state of an engine that this host owns.
+func (e *Edge) applyStock(s stock.Stock) {
 	e.holds.Tell(s.ID, s.Born, s.Sequence, s.Adapters)
 	e.holds.Recall(s.ID, s.Born, s.Recent)
 	e.speeds.Told(s.ID, s.Event)
 	e.roster.Held(s)
 }
 
-// use records a use of an adapter until done is called. The host that orders the engine is told, so that the adapter is
-// not the first to go.
-func (e *Edge) use(id, adapter string) (done func()) {
-	e.news.begin(id, adapter)
+// trackUse records use of an adapter until done is called. The engine's owner is told, so that it does not evict the adapter first.
+func (e *Edge) trackUse(id, adapter string) (done func()) {
+	e.activity.begin(id, adapter)
 	if adapter != "" && e.tenure.Owner(id) == e.Setup().IP {
 		e.giver.MarkUsed(id, []string{adapter}, time.Now())
 	}
-	return func() { e.news.end(id, adapter) }
+	return func() { e.activity.end(id, adapter) }
 }
 
-// ordered reports whether some host that is alive, and reaches upstreams, gives an engine its orders.
-func (e *Edge) ordered(id string) bool {
+// hasOwner reports whether a host that is alive and reaches upstreams owns an engine.
+func (e *Edge) hasOwner(id string) bool {
 	owner := e.tenure.Owner(id)
-	return e.held(id, owner) && (owner == e.Setup().IP || e.able(owner))
+	return e.ownerActive(id, owner) && (owner == e.Setup().IP || e.hostReaches(owner))
 }
 
-// held reports whether the host that holds an engine is alive and may act on it.
-func (e *Edge) held(id, owner string) bool {
+// ownerActive reports whether the owner of an engine is alive and may act on it.
+func (e *Edge) ownerActive(id, owner string) bool {
 	if owner == e.Setup().IP {
 		_, ok := e.tenure.Fence(id)
 		return ok
@@ -173,12 +172,12 @@
 	return m != nil && m.Ordering(owner)
 }
 
-// admit has an adapter loaded by the host that orders the engine and waits until a prompt may be sent. Where the engine holds it, another host
-// grants the turn in place of one that is lost.
+// admit asks an engine's owner to load an adapter and waits until a prompt may be sent. If the engine holds the adapter, a fallback host
+// grants the turn while the owner is down.
 func (e *Edge) admit(ctx context.Context, w want.Want) error {
 	owner := e.tenure.Owner(w.ID)
 	if w.Held {
-		owner = e.turner(w.ID)
+		owner = e.turnGranter(w.ID)
 	}
 	w.Host = e.Setup().IP
 	if owner == w.Host {
@@ -195,12 +194,12 @@
 	return want.FromText(text)
 }
 
-// spent tells the host that granted a turn that it has ended. Where that host does not hear it, the prompt counts as read some time after it
+// reportTurnEnd tells the host that granted a turn that it has ended. If the message is lost, the prompt counts as read some time after it
 // should have been.
-func (e *Edge) spent(s spent.Spent) {
-	owner := e.turner(s.Engine)
+func (e *Edge) reportTurnEnd(s spent.Spent) {
+	owner := e.turnGranter(s.Engine)
 	if owner == e.Setup().IP {
-		e.ended(s)
+		e.endTurn(s)
 		return
 	}
 	mesh := e.mesh.Load()
@@ -208,43 +207,43 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), spentFor)
+		ctx, cancel := context.WithTimeout(context.Background(), turnEndTimeout)
 		defer cancel()
 		var none struct{}
 		if err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodSpent, s, &none); err != nil {
-			e.Log.Debug("end of a turn not told", zap.String("target", s.Engine), zap.Error(err))
+			e.Log.Debug("failed to report the end of a turn", zap.String("target", s.Engine), zap.Error(err))
 		}
 	}()
 }
 
-// ended takes that a turn, or a request at a brittle upstream, has ended that this host counts.
-func (e *Edge) ended(s spent.Spent) {
+// endTurn records the end of a turn, or of a request at a brittle upstream, that this host counts.
+func (e *Edge) endTurn(s spent.Spent) {
 	e.giver.EndTurn(s)
 	e.flight.Ended(s.Engine, s.Turn, s.Away)
 }
 
-// modelLoads returns how many base models are on their way to engines of other hosts, and how long this host lets others go
-// first: hosts that wait for the same load to end have different times, so that the next one is seen before a third begins.
-func (e *Edge) modelLoads() (loading int, first time.Duration) {
+// modelLoads returns how many base models engines of other hosts are loading, and how long this host waits before it starts a load: hosts
+// that wait for the same load to end have different delays, so that the next load is seen before a third begins.
+func (e *Edge) modelLoads() (loading int, stagger time.Duration) {
 	hosts := e.tenure.Hosts()
 	self := hosts[e.Setup().IP]
-	before := 0
+	ahead := 0
 	for _, other := range hosts {
 		if other.Before(self) {
-			before++
+			ahead++
 		}
 	}
-	return e.news.modelLoads(e.live), time.Duration(min(before, mostFirst)) * modelStep
+	return e.activity.modelLoads(e.isAlive), time.Duration(min(ahead, maxModelLoadSteps)) * modelLoadStep
 }
 
-// charge asks the host that holds a part of teams' limits to count a request.
+// charge asks the owner of a part of teams' limits to count a request.
 func (e *Edge) charge(ctx context.Context, c charge.Charge) (ruling.Ruling, error) {
 	owner := e.tenure.Owner(c.Part)
 	if owner == e.Setup().IP {
 		return e.quotas.Charge(c), nil
 	}
 	mesh := e.mesh.Load()
-	if mesh == nil || !e.live(owner) {
+	if mesh == nil || !e.isAlive(owner) {
 		return ruling.Ruling{}, want.ErrElsewhere
 	}
 	var r ruling.Ruling
--- a/internal/edge/permit.go
+++ b/internal/edge/permit.go
@@ -10,10 +10,10 @@
 	"damaskreach/internal/want"
 )
 
-// tellFor bounds telling that an upstream's need is over.
-const tellFor = time.Second
+// tellLimitTimeout bounds reporting the end of an upstream's limit.
+const tellLimitTimeout = time.Second
 
-// permit has the host that counts the requests for an upstream count one. That host may know that the limit is over.
+// permit asks the host that counts the requests for an upstream to count one. That host may know that the limit has ended.
 func (e *Edge) permit(ctx context.Context, w want.Want) error {
 	r, err := e.askCounter(ctx, w)
 	switch {
@@ -28,13 +28,13 @@
 	return nil
 }
 
-// tellLimit tells the host that counts the requests for an upstream what this host has heard: those that still take it for limited learn from
-// there that it is not.
+// tellLimit tells the host that counts the requests for an upstream what this host knows of its limit: hosts that still consider it limited
+// learn from there that it is not.
 func (e *Edge) tellLimit(id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellFor)
+	ctx, cancel := context.WithTimeout(context.Background(), tellLimitTimeout)
 	defer cancel()
 	if _, err := e.askCounter(ctx, want.Want{ID: id, Spread: true}); err != nil {
-		e.Log.Info("upstream's limit not told", zap.String("target", id), zap.Error(err))
+		e.Log.Info("failed to report upstream's limit", zap.String("target", id), zap.Error(err))
 	}
 }
 
@@ -42,21 +42,21 @@
 func (e *Edge) askCounter(ctx context.Context, w want.Want) (r ruling.Ruling, err error) {
 	w.Host = e.Setup().IP
 	w = e.withLimit(w)
-	counts := e.counter(w.ID)
-	if counts == w.Host {
-		return e.counted(w), nil
+	counter := e.countingHost(w.ID)
+	if counter == w.Host {
+		return e.countHere(w), nil
 	}
 	mesh := e.mesh.Load()
 	if mesh == nil {
 		return ruling.Ruling{}, want.ErrElsewhere
 	}
-	err = mesh.Ask(ctx, e.tenure.Host(counts).Peers, methodPermit, w, &r)
+	err = mesh.Ask(ctx, e.tenure.Host(counter).Peers, methodPermit, w, &r)
 	return r, err
 }
 
-// counted counts a request for an upstream here, where one is to be sent, by the newest that any host has heard of its limit.
-func (e *Edge) counted(w want.Want) ruling.Ruling {
-	e.learnLimit(w)
+// countHere counts a request for an upstream on this host if one is to be sent, by the newest limit that any host knows.
+func (e *Edge) countHere(w want.Want) ruling.Ruling {
+	e.applyLimit(w)
 	t, known := e.intake.View().Targets[w.ID]
 	if w.Spread || !known || !e.ration.Limited(w.ID) && !e.flight.Brittle(t) {
 		return ruling.Ruling{}
@@ -71,7 +71,7 @@
 	return ruling.Ruling{Counts: true, Units: 1}
 }
 
-// withLimit adds what this host has heard of the upstream's limit, and of whether it is brittle.
+// withLimit adds what this host knows of the upstream's limit, and of whether it is brittle.
 func (e *Edge) withLimit(w want.Want) want.Want {
 	rate, age, ok := e.ration.Newest(w.ID)
 	if ok {
@@ -81,8 +81,8 @@
 	return w
 }
 
-// learnLimit takes what another host has heard of that.
-func (e *Edge) learnLimit(w want.Want) {
+// applyLimit applies what another host knows of the same.
+func (e *Edge) applyLimit(w want.Want) {
 	if w.Rated {
 		e.ration.Told(w.ID, w.Rate, w.RateAge)
 	}
--- /dev/null
+++ b/internal/edge/report.go
@@ -0,0 +1,66 @@
+package edge
+
+import (
+	"context"
+	"time"
+
+	"damaskreach/internal/busy"
+	"damaskreach/internal/turns"
+	"damaskreach/internal/usage"
+)
+
+// selfReportInterval is how often the use of engines by this host's requests is reported to its own giver.
+const selfReportInterval = 200 * time.Millisecond
+
+// reportToSelf does for the engines whose turns this host grants what messages do for those of other hosts.
+func (e *Edge) reportToSelf(ctx context.Context) {
+	for range turns.Every(ctx, selfReportInterval) {
+		e.updateFallback()
+		ip := e.Setup().IP
+		e.giver.RecordUsage(e.engineUsages(ip, e.grantsTurns), time.Now())
+	}
+}
+
+// ownStatus returns what this host reports of itself.
+func (e *Edge) ownStatus() (own busy.Busy, uses []usage.Usage, broke []string) {
+	own = busy.Busy{
+		Leaving: e.leaving.Load(), Lapsed: e.tenure.Left() <= 0, Away: e.intake.Away(), Cut: e.reach.Cut() > 0,
+		Loads: e.engineLoads(), Waits: e.engineWaits(), Models: e.giver.LoadingModels(),
+	}
+	uses = e.engineUsages(e.Setup().IP, func(id string) bool { return !e.grantsTurns(id) })
+	return own, uses, e.blame.News()
+}
+
+// engineUsages returns what this host's requests use at the wanted engines, and how fast they run there.
+func (e *Edge) engineUsages(ip string, wanted func(id string) bool) []usage.Usage {
+	list := e.activity.usages(ip, 2*e.maxGossipAge(), wanted)
+	now := time.Now()
+	for i, u := range list {
+		event, count := e.speeds.Measured(u.Engine, now)
+		list[i].Event, list[i].Events = event.Microseconds(), count
+	}
+	return list
+}
+
+// engineWaits returns the waits at engines whose turns this host grants, and records them for its own routing.
+func (e *Edge) engineWaits() map[string]int {
+	ms := map[string]int{}
+	now := time.Now()
+	for id, wait := range e.giver.QueueWaits(e.grantsTurns) {
+		e.pick.Waits(id, wait, now)
+		if wait >= time.Millisecond {
+			ms[id] = int(wait.Milliseconds())
+		}
+	}
+	return ms
+}
+
+// engineLoads returns the loads of engines whose turns this host grants, and records them for its own routing.
+func (e *Edge) engineLoads() map[string]int {
+	loads := e.giver.RunningRequests(e.grantsTurns)
+	now := time.Now()
+	for id, n := range loads {
+		e.pick.Told(id, n, now)
+	}
+	return loads
+}
--- a/internal/edge/rest_test.go
+++ b/internal/edge/rest_test.go
@@ -9,86 +9,86 @@
 )
 
 const (
-	// restTold, in synctest's time as all waits here, is how long after an answer that asks for rest a host may still send what it had begun to, and restMost how many requests
-	// may come within the rest after that.
-	restTold = 500 * time.Millisecond
-	restMost = 2
+	// restNoticeTime, in synctest time, is how long after an answer that asks for rest a host may still send requests under way;
+	// maxRestRequests is how many may come from a host within the rest after that.
+	restNoticeTime  = 500 * time.Millisecond
+	maxRestRequests = 2
 )
 
-// disturbed returns the most requests that came to an upstream from one host while it rested from that host.
-func (p *payers) disturbed() (most int) {
+// maxDuringRest returns the most requests that an upstream got from one host while it rested from that host.
+func (p *teamFleet) maxDuringRest() (highest int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, first := range p.runs {
-		if !first.rest {
+	for i, first := range p.executions {
+		if !first.askedRest {
 			continue
 		}
 		n := 0
-		for _, r := range p.runs[i:] {
+		for _, r := range p.executions[i:] {
 			after := r.at.Sub(first.at)
-			if r.to == first.to && r.from == first.from && after >= restTold && after < restAsked {
+			if r.upstream == first.upstream && r.host == first.host && after >= restNoticeTime && after < restDuration {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 // wantRested checks that upstreams got the rest that they asked for.
-func (p *payers) wantRested() {
+func (p *teamFleet) wantRested() {
 	p.t.Helper()
-	if got := p.disturbed(); got > restMost {
-		p.t.Errorf("an upstream got %d requests from one host while it rested from that host, want %d at most", got, restMost)
+	if got := p.maxDuringRest(); got > maxRestRequests {
+		p.t.Errorf("an upstream got %d requests from one host while it rested from that host, want %d at most", got, maxRestRequests)
 	}
 }
 
-// Two of four upstreams turn every request away for some seconds, and say for how long they want nothing. Sent there again and again, requests
-// are rejected until their tries are used up, and the upstreams get no rest.
-func TestUpstreamThatAsksForRestGetsIt(t *testing.T) {
-	eachKind(t, 200, func(t *testing.T, p *payers, _ func()) {
-		p.shed("u0", "u1")
-		begun := time.Now()
+// Two of four upstreams reject every request for some seconds and say how long they want none. If hosts kept sending, requests would use up
+// their retries, and the upstreams would get no rest.
+func TestUpstreamAskingForRestGetsIt(t *testing.T) {
+	forEachUpstreamKind(t, 200, func(t *testing.T, p *teamFleet, _ func()) {
+		p.setShedding("u0", "u1")
+		start := time.Now()
 		time.Sleep(6 * time.Second)
-		p.shed()
+		p.setShedding()
 		p.wantRested()
-		p.wantAnswered(begun, time.Now())
+		p.wantNearlyAllServed(start, time.Now())
 		ended := time.Now()
 		time.Sleep(8 * time.Second)
-		if _, all := p.got("u0", ended.Add(4*time.Second), ended.Add(8*time.Second)); all < 100 {
-			t.Errorf("u0 got %d requests from 4 to 8 s after it ceased to turn them away, want its part again, about 200", all)
+		if _, all := p.received("u0", ended.Add(4*time.Second), ended.Add(8*time.Second)); all < 100 {
+			t.Errorf("u0 got %d requests from 4 to 8 s after it stopped rejecting them, want its share again, about 200", all)
 		}
 	})
 }
 
-// Every upstream rests. Callers are told at once, and to come back once one of them wants requests again.
-func TestCallersAreToldAtOnceWhereAllUpstreamsRest(t *testing.T) {
-	eachKind(t, 200, func(t *testing.T, p *payers, _ func()) {
-		p.shed("u0", "u1", "u2", "u3")
-		begun := time.Now()
+// Every upstream rests. Callers must be refused at once, with a retry time at which one of them accepts requests again.
+func TestCallersAreRefusedAtOnceWhenAllUpstreamsRest(t *testing.T) {
+	forEachUpstreamKind(t, 200, func(t *testing.T, p *teamFleet, _ func()) {
+		p.setShedding("u0", "u1", "u2", "u3")
+		start := time.Now()
 		time.Sleep(8 * time.Second)
 		p.wantRested()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		late, latest := 0, time.Duration(0)
-		for _, s := range p.said {
-			if s.sent.After(begun) && (s.status != http.StatusServiceUnavailable || s.took > atOnce) {
+		for _, s := range p.results {
+			if s.sent.After(start) && (s.status != http.StatusServiceUnavailable || s.took > refusalBound) {
 				late++
 				latest = max(latest, s.took)
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d callers got no 503 within %v, the latest answer came after %v", late, atOnce, latest)
+			t.Errorf("%d callers got no 503 within %v, the latest answer came after %v", late, refusalBound, latest)
 		}
 	})
 }
 
-// shed has just these upstreams turn every request away.
-func (p *payers) shed(ids ...string) {
+// setShedding makes exactly these upstreams reject every request.
+func (p *teamFleet) setShedding(ids ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.sheds)
+	clear(p.sheddingIDs)
 	for _, id := range ids {
-		p.sheds[id] = true
+		p.sheddingIDs[id] = true
 	}
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// answerLife is how long callers may keep the answer to a lookup. It bounds how long a host that leaves or died still
-	// gets new connections.
-	answerLife = 2 * time.Second
-	// readTimeout bounds how long a caller may take for its headers where the configuration has no bound.
-	readTimeout = 10 * time.Second
+	// lookupTTL is how long callers may cache the answer to a lookup. It bounds how long a host that is leaving or dead still gets new
+	// connections.
+	lookupTTL = 2 * time.Second
+	// headerTimeout bounds how long a caller may take to send its headers if the configuration has no bound.
+	headerTimeout = 10 * time.Second
 )
 
-// listen opens the ports and serves on them. It returns the listener for callers, and a channel that gets the error of a
-// server that ends.
+// listen opens the ports and serves on them. It returns the listener for callers, and a channel that receives the error of a server that
+// ends.
 func (e *Edge) listen(handler http.Handler) (callers net.Listener, failed <-chan error, err error) {
 	s := e.Setup()
 	servers := []struct {
 		addr   string
 		server *http.Server
 	}{
-		{s.Callers, e.forCallers(handler)},
-		{s.Lookup, &http.Server{Handler: e.Lookup(e.names), ReadHeaderTimeout: readTimeout}},
-		{s.Ready, &http.Server{Handler: e.Ready(e.ready), ReadHeaderTimeout: readTimeout}},
-		{s.Metrics, &http.Server{Handler: http.HandlerFunc(e.metrics), ReadHeaderTimeout: readTimeout}},
+		{s.Callers, e.callerServer(handler)},
+		{s.Lookup, &http.Server{Handler: e.Lookup(e.lookupAddrs), ReadHeaderTimeout: headerTimeout}},
+		{s.Ready, &http.Server{Handler: e.Ready(e.ready), ReadHeaderTimeout: headerTimeout}},
+		{s.Metrics, &http.Server{Handler: http.HandlerFunc(e.serveMetrics), ReadHeaderTimeout: headerTimeout}},
 	}
 	ended := make(chan error, len(servers))
 	for i, part := range servers {
@@ -50,16 +50,16 @@
 	return callers, ended, nil
 }
 
-// forCallers returns the server for callers, whose connections are followed.
-func (e *Edge) forCallers(handler http.Handler) *http.Server {
+// callerServer returns the server for callers, whose connections are tracked.
+func (e *Edge) callerServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: e.follow(handler), ReadHeaderTimeout: readTimeout, ErrorLog: zap.NewStdLog(e.Log.Named("callers")),
+		Handler: e.trackConns(handler), ReadHeaderTimeout: headerTimeout, ErrorLog: zap.NewStdLog(e.Log.Named("callers")),
 		ConnContext: e.conns.Context, ConnState: e.conns.State,
 	}
 }
 
-// follow keeps a request's connection from being closed as idle, and tells callers of a leaving host to go elsewhere.
-func (e *Edge) follow(next http.Handler) http.Handler {
+// trackConns keeps a request's connection from being closed as idle, and has callers of a leaving host connect elsewhere.
+func (e *Edge) trackConns(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !e.conns.Enter(r.Context()) {
 			panic(http.ErrAbortHandler)
@@ -76,8 +76,8 @@
 	return !e.leaving.Load() && v.Known() && len(v.Targets) > 0
 }
 
-// names returns the addresses of hosts that serve, for callers in a data centre.
-func (e *Edge) names(centre string) ([]string, time.Duration) {
+// lookupAddrs returns the addresses of serving hosts for callers in a data centre.
+func (e *Edge) lookupAddrs(centre string) ([]string, time.Duration) {
 	s := e.Setup()
 	var hosts []mate.Mate
 	if e.ready() {
@@ -92,5 +92,5 @@
 	for _, h := range lookup.Hosts(hosts, centre) {
 		addrs = append(addrs, h.Callers)
 	}
-	return addrs, min(answerLife, s.Life)
+	return addrs, min(lookupTTL, s.Life)
 }
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// callTakes is how long the store takes for a call, and rowTakes the part of a narrow link that one row takes.
-	callTakes = 4 * time.Millisecond
-	rowTakes  = 400 * time.Microsecond
-	// mostRows is how many changes the store has in one answer.
-	mostRows = 500
-	// pageFor is how long the adapter lets one page of a list take.
-	pageFor = 700 * time.Millisecond
-	// confWait is how long it keeps a reading of the operators' rows waiting for a change.
-	confWait = 2200 * time.Millisecond
-	// confSlack is how much longer the adapter lets it take.
+	// callTime is how long the store takes for a call, narrowRowTime how long one row takes on a slow link.
+	callTime      = 4 * time.Millisecond
+	narrowRowTime = 400 * time.Microsecond
+	// maxTailRows is the maximum of changes in one answer of the store.
+	maxTailRows = 500
+	// pageTimeout is how long the adapter lets one page of a list take.
+	pageTimeout = 700 * time.Millisecond
+	// confWatchTime is how long the store holds a read of the operators' rows until there is a change.
+	confWatchTime = 2200 * time.Millisecond
+	// confSlack is how much longer the adapter lets such a read take.
 	confSlack = 400 * time.Millisecond
 )
 
-// store is the platform's store as its adapter shows it, with a history of every change.
+// store is the platform's store as its adapter presents it, with a history of all changes.
 type store struct {
-	mu      sync.Mutex
-	rows    map[string]rows.Row
-	log     []rows.Row
-	rev     int64 // of the newest change, with the store's era
-	refused map[string]bool
-	silent  bool          // it answers nothing to those that it refuses
-	slow    time.Duration // that each call takes beside its usual time
-	row     time.Duration // that each row takes
-	most    int           // changes that it has in one answer
-	lost    int64         // revision up to which the history is gone
-	calls   int           // that it has answered
-	served  int           // rows in these answers
+	mu           sync.Mutex
+	rows         map[string]rows.Row
+	log          []rows.Row
+	rev          int64 // of the newest change, including the store's era
+	refused      map[string]bool
+	silent       bool          // refused hosts get no answer at all
+	delay        time.Duration // of each call beside its usual time
+	rowTime      time.Duration // time that each row takes
+	maxChanges   int           // in one answer
+	compactedRev int64         // revision up to which the history is gone
+	calls        int           // answered
+	rowsServed   int           // in these answers
 }
 
 func newStore() *store {
-	return &store{rows: map[string]rows.Row{}, refused: map[string]bool{}, row: rowTakes, most: mostRows}
+	return &store{rows: map[string]rows.Row{}, refused: map[string]bool{}, rowTime: narrowRowTime, maxChanges: maxTailRows}
 }
 
 func (s *store) put(key, value string) {
@@ -66,16 +66,16 @@
 	s.refused[host] = on
 }
 
-// harm has the store let hosts that it refuses wait for nothing, or take longer for each call.
-func (s *store) harm(silent bool, slow time.Duration) {
+// setFaults makes the store leave hosts that it refuses without an answer, or delays each call.
+func (s *store) setFaults(silent bool, slow time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent, s.slow = silent, slow
+	s.silent, s.delay = silent, slow
 }
 
-// serve takes all hosts again.
-func (s *store) serve() {
-	s.harm(false, 0)
+// serveAll makes the store serve all hosts again.
+func (s *store) serveAll() {
+	s.setFaults(false, 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.refused)
@@ -88,29 +88,29 @@
 	s.set(rows.Row{Key: key, Rev: s.rev, Gone: true})
 }
 
-// forget drops the history.
-func (s *store) forget() {
+// compact drops the history.
+func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost = s.rev
+	s.compactedRev = s.rev
 }
 
-// stored is a copy of what the store had at a moment.
-type stored struct {
+// storeBackup is a copy of the store's content at a moment.
+type storeBackup struct {
 	rows map[string]rows.Row
 	log  []rows.Row
 	rev  int64
 }
 
-// copied returns a copy of what the store has now.
-func (s *store) copied() stored {
+// backup returns a copy of the store's present content.
+func (s *store) backup() storeBackup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return stored{rows: maps.Clone(s.rows), log: slices.Clone(s.log), rev: s.rev}
+	return storeBackup{rows: maps.Clone(s.rows), log: slices.Clone(s.log), rev: s.rev}
 }
 
-// comeBack brings the store back with what a copy has: what was written since is gone, and a new era begins.
-func (s *store) comeBack(from stored) {
+// restore restores the store from a backup: later writes are lost, and a new era begins.
+func (s *store) restore(from storeBackup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era, _ := rows.Era(s.rev)
@@ -129,26 +129,26 @@
 	}
 }
 
-// older reports whether a revision is of an era before the store's.
-func (s *store) older(rev int64) bool {
+// isOlderEra reports whether a revision is of an era before the store's.
+func (s *store) isOlderEra(rev int64) bool {
 	now, _ := rows.Era(s.rev)
 	era, _ := rows.Era(rev)
 	return era < now
 }
 
-// call does what a host asks for, unless it is turned away, and lets the answer take its time.
+// call executes a host's call, unless the host is refused, and returns after the time that the answer takes.
 func (s *store) call(ctx context.Context, host string, do func() (list []rows.Row, err error)) error {
 	s.mu.Lock()
-	refused, silent, slow, row := s.refused[host], s.silent, s.slow, s.row
+	refused, silent, slow, row := s.refused[host], s.silent, s.delay, s.rowTime
 	var list []rows.Row
 	var err error
 	if !refused {
 		list, err = do()
 		s.calls++
-		s.served += len(list)
+		s.rowsServed += len(list)
 	}
 	s.mu.Unlock()
-	takes := callTakes + slow + time.Duration(len(list))*row
+	takes := callTime + slow + time.Duration(len(list))*row
 	if refused && silent {
 		takes = time.Hour
 	}
@@ -194,7 +194,7 @@
 		First: func(ctx context.Context, prefix string, limit int) (list []rows.Row, rev int64, more bool, err error) {
 			err = s.call(ctx, host, func() ([]rows.Row, error) {
 				rev = s.rev
-				list, more = s.first(prefix, limit)
+				list, more = s.firstRows(prefix, limit)
 				return list, nil
 			})
 			return list, rev, more, err
@@ -209,17 +209,17 @@
 		Tail: func(ctx context.Context, prefix string, after int64) (list []rows.Row, rev int64, err error) {
 			if prefix == "op/" {
 				var cancel context.CancelFunc
-				ctx, cancel = context.WithTimeout(ctx, confWait+confSlack)
+				ctx, cancel = context.WithTimeout(ctx, confWatchTime+confSlack)
 				defer cancel()
 			}
-			s.await(ctx, prefix, after)
+			s.waitForChange(ctx, prefix, after)
 			err = s.call(ctx, host, func() ([]rows.Row, error) {
-				if s.older(after) {
+				if s.isOlderEra(after) {
 					return nil, table.ErrCompacted
 				}
 				list, rev = s.since(prefix, after), s.rev
-				if len(list) > s.most || after < s.lost {
-					return list[:min(s.most, len(list))], table.ErrCompacted
+				if len(list) > s.maxChanges || after < s.compactedRev {
+					return list[:min(s.maxChanges, len(list))], table.ErrCompacted
 				}
 				return list, nil
 			})
@@ -228,8 +228,8 @@
 	}
 }
 
-// first returns the first rows under a prefix by their keys, and whether there are more.
-func (s *store) first(prefix string, limit int) (list []rows.Row, more bool) {
+// firstRows returns the first rows under a prefix in the order of their keys, and whether there are more.
+func (s *store) firstRows(prefix string, limit int) (list []rows.Row, more bool) {
 	for key, row := range s.rows {
 		if strings.HasPrefix(key, prefix) && !row.Gone {
 			list = append(list, row)
@@ -239,31 +239,31 @@
 	return list[:min(limit, len(list))], len(list) > limit
 }
 
-// count returns how many calls and rows there were since it was asked last.
+// count returns the calls and rows since it was last called.
 func (s *store) count() (calls, served int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls, served = s.calls, s.served
-	s.calls, s.served = 0, 0
+	calls, served = s.calls, s.rowsServed
+	s.calls, s.rowsServed = 0, 0
 	return calls, served
 }
 
-// listFor is how long the adapter lets a list take: as long as a page may, for each.
+// listFor is how long the adapter lets a list take: pageTimeout for each page.
 func (s *store) listFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(1+len(s.rows)/s.most) * pageFor
+	return time.Duration(1+len(s.rows)/s.maxChanges) * pageTimeout
 }
 
-// await keeps a reading of the operators' rows waiting for a change.
-func (s *store) await(ctx context.Context, prefix string, after int64) {
+// waitForChange holds a read of the operators' rows until there is a change.
+func (s *store) waitForChange(ctx context.Context, prefix string, after int64) {
 	if prefix != "op/" {
 		return
 	}
-	until := time.Now().Add(confWait)
+	until := time.Now().Add(confWatchTime)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		s.mu.Lock()
-		changed := s.older(after) || len(s.since(prefix, after)) > 0
+		changed := s.isOlderEra(after) || len(s.since(prefix, after)) > 0
 		s.mu.Unlock()
 		if changed {
 			return
--- a/internal/edge/sweep.go
+++ b/internal/edge/sweep.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// sweepEvery is how often idle connections and records of what is gone are dropped.
-	sweepEvery = time.Second
-	// idleSlack is added to the time that a caller may leave its connection idle, for the way of its next request.
+	// sweepInterval is the time between sweeps of idle connections and of records of removed upstreams and hosts.
+	sweepInterval = time.Second
+	// idleSlack is added to the time that a caller may leave its connection idle, for its next request to arrive.
 	idleSlack = 500 * time.Millisecond
 )
 
 func (e *Edge) sweep(ctx context.Context) {
-	for range turns.Every(ctx, sweepEvery) {
+	for range turns.Every(ctx, sweepInterval) {
 		v, now := e.intake.View(), time.Now()
 		e.uplink.Sweep()
 		if limit := v.Rules.IdleFor; limit > 0 {
@@ -29,16 +29,16 @@
 		}
 		e.ration.Forget(left)
 		e.flight.Forget(left)
-		e.orders.Range(func(id, _ any) bool {
+		e.lastOrders.Range(func(id, _ any) bool {
 			if left(id.(string)) {
-				e.orders.Delete(id)
+				e.lastOrders.Delete(id)
 			}
 			return true
 		})
 		e.avoid.Forget(left, now)
 		e.roster.Forget(left)
 		e.speeds.Forget(left, now)
-		gone := func(ip string) bool { return !e.live(ip) }
+		gone := func(ip string) bool { return !e.isAlive(ip) }
 		e.feeds.Forget(gone)
 		e.readers.Forget(gone)
 	}
--- a/internal/edge/payers_test.go
+++ b/internal/edge/teams_test.go
@@ -34,28 +34,28 @@
 	headTeam     = "Fake-Team"
 	headFor      = "Fake-For"  // upstream that the request is for
 	headFrom     = "Fake-From" // host that sends it
-	headMost     = "Fake-Most" // requests a second that the upstream takes
+	headLimit    = "Fake-Most" // requests a second that the upstream accepts
 	headLeaving  = "Fake-Leaving"
-	// restAsked is for how long upstreams that turn requests away ask for rest.
-	restAsked = 3 * time.Second
-	headRest  = "Fake-Rest" // for which the upstream wants nothing
+	// restDuration is how long upstreams that reject requests ask to rest.
+	restDuration = 3 * time.Second
+	headRest     = "Fake-Rest" // how long the upstream wants no requests
 )
 
-// ran is one request as an upstream ran it.
-type ran struct {
-	sent    time.Time // by its caller
-	at      time.Time
-	team    string
-	units   float64
-	to      string // upstream
-	from    string // host
-	told    bool   // the answer named a limit
-	leaving bool   // the answer said so
-	rest    bool   // turned away, with a time to rest
+// execution is one request as an upstream ran it.
+type execution struct {
+	sent       time.Time // by its caller
+	at         time.Time
+	team       string
+	units      float64
+	upstream   string
+	host       string // that sent it
+	limitNamed bool   // in the answer
+	leaving    bool   // announced in the answer
+	askedRest  bool   // rejected with a time to rest
 }
 
-// said is the answer to one request.
-type said struct {
+// callResult is the answer to one request.
+type callResult struct {
 	sent   time.Time
 	host   string
 	team   string
@@ -64,51 +64,54 @@
 	took   time.Duration
 }
 
-// payers is a fleet whose callers belong to teams with limits.
-type payers struct {
+// teamFleet is a fleet whose callers belong to teams with limits.
+type teamFleet struct {
 	*fleet
 	ctx   context.Context
 	teams func(version int64) []team.Team // in each version of the configuration
 
-	mu      sync.Mutex
-	runs    []ran
-	said    []said
-	sent    map[string]time.Time
-	lives   map[string]*life
-	engines bool              // the upstreams take orders
-	takes   time.Duration     // that upstreams run a request
-	under   map[string]int    // requests at each upstream now
-	peak    map[string]int    // the most that there were at once
-	most    map[string]string // limit that each upstream names of itself
-	leaves  map[string]bool   // upstreams that say that they leave
-	sheds   map[string]bool   // upstreams that turn requests away
+	mu          sync.Mutex
+	executions  []execution
+	results     []callResult
+	sentAt      map[string]time.Time
+	processes   map[string]*process
+	engines     bool              // the upstreams take orders
+	serviceTime time.Duration     // of a request at an upstream
+	inFlight    map[string]int    // requests at each upstream
+	peak        map[string]int    // maximum of inFlight
+	selfLimits  map[string]string // limit that each upstream names
+	leavingIDs  map[string]bool   // upstreams that announce that they leave
+	sheddingIDs map[string]bool   // upstreams that reject requests
 }
 
-// life is one start of the program on a host.
-type life struct {
+// process is one run of the program on a host.
+type process struct {
 	dead bool // killed: nothing of it reaches the network or the store any more
 }
 
-func newPayers(t *testing.T, hosts, centres, upstreams int, teams func(version int64) []team.Team) *payers {
-	return newPayersOf(t, hosts, centres, upstreams, teams, func(*edge.Edge, *setup.Setup) {})
+func newTeamFleet(t *testing.T, hosts, centres, upstreams int, teams func(version int64) []team.Team) *teamFleet {
+	return newTeamFleetOf(t, hosts, centres, upstreams, teams, func(*edge.Edge, *setup.Setup) {})
 }
 
-// newPayersOf changes each host before it starts.
-func newPayersOf(
+// newTeamFleetOf is newTeamFleet with a function that changes each host before it starts.
+func newTeamFleetOf(
 	t *testing.T, hosts, centres, upstreams int, teams func(version int64) []team.Team, adapt func(e *edge.Edge, s *setup.Setup),
-) *payers {
-	p := &payers{teams: teams, sent: map[string]time.Time{}, lives: map[string]*life{}, most: map[string]string{}, under: map[string]int{}, peak: map[string]int{}, leaves: map[string]bool{}, sheds: map[string]bool{}, ctx: t.Context()}
+) *teamFleet {
+	p := &teamFleet{
+		teams: teams, sentAt: map[string]time.Time{}, processes: map[string]*process{}, selfLimits: map[string]string{},
+		inFlight: map[string]int{}, peak: map[string]int{}, leavingIDs: map[string]bool{}, sheddingIDs: map[string]bool{}, ctx: t.Context(),
+	}
 	p.fleet = newFleetOf(t, hosts, centres, upstreams, func(e *edge.Edge, s *setup.Setup) (killed func() bool) {
 		killed = p.adapt(e, s)
 		adapt(e, s)
 		return killed
 	})
-	p.serveAt(t, upstreamAddr, p.run)
+	p.serveAt(t, upstreamAddr, p.serveUpstream)
 	return p
 }
 
 // serveAt serves an address until the test ends.
-func (p *payers) serveAt(t *testing.T, addr string, handler http.HandlerFunc) {
+func (p *teamFleet) serveAt(t *testing.T, addr string, handler http.HandlerFunc) {
 	t.Helper()
 	l, err := p.net.Listen(addr)
 	if err != nil {
@@ -119,80 +122,80 @@
 	t.Cleanup(func() { server.Close() })
 }
 
-// adapt lets a host decode the fakes' own requests, and lets it be killed.
-func (p *payers) adapt(e *edge.Edge, s *setup.Setup) (killed func() bool) {
-	now := &life{}
+// adapt makes a host decode the test's own requests, and allows it to be killed.
+func (p *teamFleet) adapt(e *edge.Edge, s *setup.Setup) (killed func() bool) {
+	now := &process{}
 	p.mu.Lock()
-	p.lives[s.IP] = now
+	p.processes[s.IP] = now
 	p.mu.Unlock()
-	e.Rules = p.rules
-	e.Decode = func(r *http.Request) (demand.Demand, error) {
+	e.DecodeRules = p.rules
+	e.DecodeRequest = func(r *http.Request) (demand.Demand, error) {
 		units, err := strconv.Atoi(r.Header.Get(headUnits))
 		return demand.Demand{
 			ID: r.Header.Get(headID), Method: r.Method, Host: r.Host, URI: r.RequestURI, Header: r.Header.Clone(), Prompt: units,
 			Key: apikey.NewKey(r.Header.Get(headKey)), Wait: 1500 * time.Millisecond,
 		}, err
 	}
-	e.OnBehalf = func(h http.Header, team string) http.Header {
+	e.TeamHeaders = func(h http.Header, team string) http.Header {
 		next := h.Clone()
 		next.Del(headKey)
 		next.Set(headTeam, team)
 		return next
 	}
 	ip := s.IP
-	e.Headers = func(id string, _ time.Duration, _ int, _ string) http.Header {
+	e.UpstreamHeaders = func(id string, _ time.Duration, _ int, _ string) http.Header {
 		return http.Header{headFor: {id}, headFrom: {ip}}
 	}
 	e.NotRun = func(_ int, h http.Header) bool { return h.Get(headRest) != "" }
-	e.Notice = noticed
+	e.DecodeNotice = decodeNotice
 	e.Matches = func(h http.Header, id string) bool { return h.Get(headID) == id }
 	dial := e.Dial
 	e.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		if p.dead(now) {
+		if p.isDead(now) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		return dial(ctx, addr)
 	}
-	e.Table = p.mortal(e.Table, now)
-	return func() bool { return p.dead(now) }
+	e.Table = p.mortalTable(e.Table, now)
+	return func() bool { return p.isDead(now) }
 }
 
-func (p *payers) dead(l *life) bool {
+func (p *teamFleet) isDead(l *process) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.dead
 }
 
-// mortal returns the store as a start of the program reaches it.
-func (p *payers) mortal(t table.Table, l *life) table.Table {
+// mortalTable returns the store as one process reaches it.
+func (p *teamFleet) mortalTable(t table.Table, l *process) table.Table {
 	list, write, tail, read, first := t.List, t.Write, t.Tail, t.Read, t.First
 	t.First = func(ctx context.Context, prefix string, limit int) ([]rows.Row, int64, bool, error) {
-		if p.dead(l) {
+		if p.isDead(l) {
 			return nil, 0, false, table.ErrDown
 		}
 		return first(ctx, prefix, limit)
 	}
 	t.List = func(ctx context.Context, prefix string) ([]rows.Row, int64, error) {
-		if p.dead(l) {
+		if p.isDead(l) {
 			return nil, 0, table.ErrDown
 		}
 		return list(ctx, prefix)
 	}
 	t.Tail = func(ctx context.Context, prefix string, after int64) ([]rows.Row, int64, error) {
-		if p.dead(l) {
+		if p.isDead(l) {
 			return nil, 0, table.ErrDown
 		}
 		return tail(ctx, prefix, after)
 	}
 	t.Read = func(ctx context.Context, key string) (rows.Row, error) {
-		if p.dead(l) {
+		if p.isDead(l) {
 			return rows.Row{}, table.ErrDown
 		}
 		return read(ctx, key)
 	}
 	t.Write = func(ctx context.Context, edits ...rows.Row) (int64, error) {
-		if p.dead(l) {
+		if p.isDead(l) {
 			return 0, table.ErrDown
 		}
 		return write(ctx, edits...)
@@ -200,8 +203,8 @@
 	return t
 }
 
-// rules decodes a configuration: its row holds nothing but a version.
-func (p *payers) rules(row rows.Row) (rules.Rules, bool, error) {
+// rules decodes a configuration, whose row holds only a version.
+func (p *teamFleet) rules(row rows.Row) (rules.Rules, bool, error) {
 	version, err := strconv.ParseInt(string(row.Value), 10, 64)
 	r := rules.Rules{
 		Version: version, Guarded: true, Teams: map[string]team.Team{}, Keys: map[apikey.Key]string{},
@@ -218,22 +221,22 @@
 	return r, true, err
 }
 
-// noticed decodes what an upstream says of itself.
-func noticed(_ int, h http.Header) (n notice.Notice, err error) {
+// decodeNotice decodes what an upstream reports of itself.
+func decodeNotice(_ int, h http.Header) (n notice.Notice, err error) {
 	n.Leaving = h.Get(headLeaving) != ""
 	if text := h.Get(headRest); text != "" {
 		n.Rest, err = time.ParseDuration(text)
 		return n, err
 	}
-	if text := h.Get(headMost); text != "" {
+	if text := h.Get(headLimit); text != "" {
 		n.Limited = true
 		n.Limit, err = strconv.ParseFloat(text, 64)
 	}
 	return n, err
 }
 
-// run is the upstream: it runs whatever comes.
-func (p *payers) run(w http.ResponseWriter, r *http.Request) {
+// serveUpstream is the handler of the upstreams, which run every request.
+func (p *teamFleet) serveUpstream(w http.ResponseWriter, r *http.Request) {
 	id, name := r.Header.Get(headID), r.Header.Get(headTeam)
 	units, err := strconv.ParseFloat(r.Header.Get(headUnits), 64)
 	if err != nil || r.Header.Get(headKey) != "" {
@@ -241,13 +244,16 @@
 	}
 	to := r.Header.Get(headFor)
 	p.mu.Lock()
-	most, told := p.most[to]
-	p.runs = append(p.runs, ran{sent: p.sent[id], at: time.Now(), team: name, units: units, to: to, from: r.Header.Get(headFrom), told: told, leaving: p.leaves[to], rest: p.sheds[to]})
-	leaves, sheds, takes := p.leaves[to], p.sheds[to], p.takes
-	p.under[to]++
-	p.peak[to] = max(p.peak[to], p.under[to])
+	limit, limited := p.selfLimits[to]
+	p.executions = append(p.executions, execution{
+		sent: p.sentAt[id], at: time.Now(), team: name, units: units, upstream: to, host: r.Header.Get(headFrom),
+		limitNamed: limited, leaving: p.leavingIDs[to], askedRest: p.sheddingIDs[to],
+	})
+	leaves, sheds, takes := p.leavingIDs[to], p.sheddingIDs[to], p.serviceTime
+	p.inFlight[to]++
+	p.peak[to] = max(p.peak[to], p.inFlight[to])
 	p.mu.Unlock()
-	defer p.ended(to)
+	defer p.endRequest(to)
 	if takes > 0 {
 		<-time.After(takes)
 	}
@@ -256,32 +262,32 @@
 		w.Header().Set(headLeaving, "1")
 	}
 	if sheds {
-		w.Header().Set(headRest, restAsked.String())
+		w.Header().Set(headRest, restDuration.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if told {
-		w.Header().Set(headMost, most)
+	if limited {
+		w.Header().Set(headLimit, limit)
 	}
 }
 
-// ended counts the end of a request at an upstream.
-func (p *payers) ended(id string) {
+// endRequest counts the end of a request at an upstream.
+func (p *teamFleet) endRequest(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.under[id]--
+	p.inFlight[id]--
 }
 
-// kill ends the program on a host without a word.
-func (p *payers) kill(host string) {
+// kill ends the process on a host without a graceful shutdown.
+func (p *teamFleet) kill(host string) {
 	p.mu.Lock()
-	p.lives[host].dead = true
+	p.processes[host].dead = true
 	p.mu.Unlock()
 	p.net.Kill(host)
 }
 
-// part cuts a host off from all other hosts, or heals that.
-func (p *payers) part(host string, cut bool) {
+// partition cuts a host off from all other hosts, or undoes that.
+func (p *teamFleet) partition(host string, cut bool) {
 	for _, other := range p.hosts {
 		switch {
 		case other == host:
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -121,7 +121,7 @@
 	go reload(ctx, hangups, path, &current, log, lines)
 	e := s.Build(first)
 	e.Setup = func() setup.Setup { return *current.Load() }
-	e.Log, e.Requests = lines, lines.Named(logger.Requests)
+	e.Log, e.RequestLog = lines, lines.Named(logger.Requests)
 	e.Stats = stats.NewStats()
 	e.Stats.Gauge(stats.Dropped, func() float64 { return float64(log.Dropped()) })
 	return e.Run(ctx)
