--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -21,7 +21,7 @@
 	"damaskreach/internal/peer"
 	"damaskreach/internal/sess"
 	"damaskreach/internal/sums"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 )
 
@@ -57,7 +57,7 @@
 
 // Run tells the homes of limits what this node used, until ctx ends.
 func (a *Admit) Run(ctx context.Context) {
-	for range turns.Now(ctx, every, nil) {
+	for range ticker.Repeat(ctx, every, nil) {
 		a.look(ctx)
 		a.tell(ctx)
 	}
--- a/internal/avoid/avoid.go
+++ b/internal/avoid/avoid.go
@@ -44,8 +44,8 @@
 	m := a.marks[t.ID]
 	m.heard = now
 	if n.Leaving {
-		left = !m.leaves || m.born != t.Born
-		m.leaves, m.born = true, t.Born
+		left = !m.leaves || m.born != t.Incarnation
+		m.leaves, m.born = true, t.Incarnation
 	}
 	if rests := now.Add(n.Rest); rests.After(m.rests) {
 		m.rests = rests
@@ -68,7 +68,7 @@
 
 // left reports whether an incarnation has said that it leaves.
 func (m mark) left(t target.Target) bool {
-	return m.leaves && m.born == t.Born
+	return m.leaves && m.born == t.Incarnation
 }
 
 // Rest returns for how long an upstream still wants nothing, 0 where it takes requests.
--- a/internal/avoid/avoid_test.go
+++ b/internal/avoid/avoid_test.go
@@ -11,8 +11,8 @@
 
 var (
 	now  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	old  = target.Target{ID: "u", Born: 1}
-	next = target.Target{ID: "u", Born: 2}
+	old  = target.Target{ID: "u", Incarnation: 1}
+	next = target.Target{ID: "u", Incarnation: 2}
 )
 
 // An upstream starts again under its id after it has left: taken for the one before, it would get nothing as long as it lives.
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -9,7 +9,7 @@
 
 	"damaskreach/internal/rows"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // Size is the largest number of rows written in one transaction.
@@ -74,7 +74,7 @@
 			return rev, lost, err
 		}
 		lost = lost || !errors.Is(err, table.ErrDown)
-		if !turns.Sleep(ctx, pause) {
+		if !ticker.Sleep(ctx, pause) {
 			return 0, lost, err
 		}
 	}
--- a/internal/commit/settle.go
+++ b/internal/commit/settle.go
@@ -11,7 +11,7 @@
 	"damaskreach/internal/rows"
 	"damaskreach/internal/stamp"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // settle decides on a batch that met a conflict. It returns the outcomes that are certain and the edits to try again.
@@ -98,7 +98,7 @@
 		if err == nil && e.Rev == 0 && time.Now().After(end) {
 			return rows.Row{Key: e.Key}, nil // made and removed by others
 		}
-		if !turns.Sleep(ctx, firstPause) {
+		if !ticker.Sleep(ctx, firstPause) {
 			return rows.Row{}, errors.Join(err, ctx.Err())
 		}
 	}
--- a/internal/direct/ask.go
+++ b/internal/direct/ask.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/spent"
 	"damaskreach/internal/stats"
 	"damaskreach/internal/target"
-	"damaskreach/internal/want"
 )
 
 const (
@@ -30,30 +30,30 @@
 	ctx, cancel := context.WithTimeout(ctx, min(loadFor, max(leastTurn, time.Until(j.hopeless()))))
 	defer cancel()
 	w := x.want(j, t, version, bound)
-	w.Held = true
+	w.Loaded = true
 	err := x.admit(ctx, j, w)
-	if errors.Is(err, want.ErrCrowded) {
-		x.Pick.Waits(t.ID, want.Wait(err), time.Now())
+	if errors.Is(err, intent.ErrPromptQueueFull) {
+		x.Pick.Waits(t.ID, intent.WaitOf(err), time.Now())
 	}
 	if err != nil {
-		j.did(want.Code(err))
+		j.did(intent.Code(err))
 	}
 	return err
 }
 
 // admit asks for a turn, which the request has then.
-func (x *Direct) admit(ctx context.Context, j *job, w want.Want) error {
+func (x *Direct) admit(ctx context.Context, j *job, w intent.Intent) error {
 	x.release(&j.turn, false)
 	w.Turn = rand.Uint64()
 	err := x.Admit(ctx, w)
 	outcome := "granted"
 	if err != nil {
-		outcome = want.Code(err)
+		outcome = intent.Code(err)
 	} else {
-		j.turn = turn{w.ID, w.Turn}
+		j.turn = turn{w.EngineID, w.Turn}
 	}
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
-		x.Spent(spent.Spent{Engine: w.ID, Turn: w.Turn}) // it may have been granted, and the answer be on its way
+		x.Spent(spent.Spent{Engine: w.EngineID, Turn: w.Turn}) // it may have been granted, and the answer be on its way
 	}
 	x.Stats.Add(stats.Admits, 1, "outcome", outcome)
 	return err
@@ -67,17 +67,17 @@
 	*t = turn{}
 }
 
-func (x *Direct) want(j *job, t target.Target, version int, bound time.Duration) want.Want {
+func (x *Direct) want(j *job, t target.Target, version int, bound time.Duration) intent.Intent {
 	gap, cost := x.Speeds.Gap(t.ID), x.cost(j, t.ID)
 	room := j.route.Gap - gap - gapSlack
 	if j.route.Gap == 0 {
 		room = leastRoom
 	}
-	return want.Want{
-		ID: t.ID, Model: j.d.Model, Adapter: j.d.Adapter, Version: version, Rank: j.rank(), Begun: j.headed,
-		Team: j.team.Name, Weight: j.team.Weight,
-		Cost: max(time.Millisecond, cost), Room: max(leastRoom, room), Tail: gap, Bound: bound,
-		Limit: time.Until(j.hopeless()), Patience: j.patience(time.Now(), x.takes(j, t.ID)),
+	return intent.Intent{
+		EngineID: t.ID, Model: j.d.Model, Adapter: j.d.Adapter, Version: version, Priority: j.rank(), Streaming: j.headed,
+		Team: j.team.Name, TeamWeight: j.team.Weight,
+		PromptCost: max(time.Millisecond, cost), StallBudget: max(leastRoom, room), PauseTail: gap, MaxPromptWait: bound,
+		MaxLoadWait: time.Until(j.hopeless()), TimeLeft: j.patience(time.Now(), x.takes(j, t.ID)),
 	}
 }
 
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -22,6 +22,7 @@
 	"damaskreach/internal/demand"
 	"damaskreach/internal/flight"
 	"damaskreach/internal/holds"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/notice"
 	"damaskreach/internal/pick"
 	"damaskreach/internal/ration"
@@ -32,7 +33,6 @@
 	"damaskreach/internal/stats"
 	"damaskreach/internal/team"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -84,12 +84,12 @@
 	// Owner reports whether loads on an engine can be asked for now.
 	Owner func(id string) bool
 	// Admit has an adapter loaded and returns once a prompt may be sent.
-	Admit func(ctx context.Context, w want.Want) error
+	Admit func(ctx context.Context, w intent.Intent) error
 	// Spent tells that a turn has ended.
 	Spent func(s spent.Spent)
 	// Permit has a request counted at an upstream that names a limit, or is brittle, and has no host that gives it orders; an ErrCrowded tells how long it
 	// will be until there is room. Spent tells that a request at a brittle one has ended.
-	Permit func(ctx context.Context, w want.Want) error
+	Permit func(ctx context.Context, w intent.Intent) error
 	// TellLimit tells other hosts that an upstream has begun to name a limit or to be brittle, or has ceased to.
 	TellLimit func(id string)
 	// Charge counts a request against the limit of its team; back must be called where it turns out not to have run.
@@ -170,7 +170,7 @@
 		// Taken, it would be cut off at the end of the grace, and a booking that was cut off may not be sent again.
 		return refuse.NewRefusal(verd.NotRun, refuse.Leaving, "this host is about to stop").WithRetry(elsewhere)
 	}
-	if !j.view.Known() {
+	if !j.view.HasRules() {
 		return refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "no configuration yet").WithRetry(x.noConf(j.begun))
 	}
 	path, _, _ := strings.Cut(d.URI, "?")
--- a/internal/direct/ending_test.go
+++ b/internal/direct/ending_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"damaskreach/internal/demand"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/verd"
 )
 
@@ -41,7 +41,7 @@
 func TestRequestThatWaitsIsSentElsewhereAsItsHostEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := endingBench(t)
-		b.Admit = func(ctx context.Context, _ want.Want) error {
+		b.Admit = func(ctx context.Context, _ intent.Intent) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
@@ -120,9 +120,9 @@
 		b.view = b.view.WithVersion("m/a", 2, time.Now())
 		ctx, end := context.WithCancel(t.Context())
 		b.Ending = ctx
-		b.Admit = func(ctx context.Context, w want.Want) error {
-			if w.Spread {
-				return want.ErrBusy
+		b.Admit = func(ctx context.Context, w intent.Intent) error {
+			if w.Background {
+				return intent.ErrLoadQueueFull
 			}
 			<-ctx.Done()
 			end()
--- a/internal/direct/fake_test.go
+++ b/internal/direct/fake_test.go
@@ -20,6 +20,7 @@
 	"damaskreach/internal/direct"
 	"damaskreach/internal/flight"
 	"damaskreach/internal/holds"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/kinds"
 	"damaskreach/internal/model"
 	"damaskreach/internal/notice"
@@ -36,7 +37,6 @@
 	"damaskreach/internal/stats"
 	"damaskreach/internal/target"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/verd"
 )
 
@@ -69,7 +69,7 @@
 	view      view.View
 	answers   []func(s sent) (resp.Resp, error)
 	sent      []sent
-	loads     []want.Want
+	loads     []intent.Intent
 	loadErr   error
 	asked     []string                 // upstreams for which a request was to be counted
 	full      map[string]time.Duration // until their limits have room
@@ -92,7 +92,7 @@
 	b.view = view.View{
 		Rules: rules.Rules{
 			Version: 1, Routes: map[string][]route.Route{"a.example": {rt}},
-			Pools: map[string]pool.Pool{"g": {Name: "g", Engine: true, Models: []model.Model{{Name: "m"}}, Places: 4}},
+			Pools: map[string]pool.Pool{"g": {Name: "g", Engine: true, Models: []model.Model{{Name: "m"}}, MaxAdapters: 4}},
 		},
 		Targets: map[string]target.Target{},
 	}
@@ -134,7 +134,7 @@
 // add registers an upstream that holds adapters.
 func (b *bench) add(id string, adapters map[string]int) {
 	b.view.Targets[id] = target.Target{
-		ID: id, Born: 1, Group: "g", Addr: id + ":1", Centre: "dc", Slots: 4, Models: []string{"m"}, Adapters: adapters,
+		ID: id, Incarnation: 1, Group: "g", Addr: id + ":1", Centre: "dc", Slots: 4, Models: []string{"m"}, Adapters: adapters,
 	}
 }
 
@@ -174,25 +174,25 @@
 }
 
 // permit counts a request at an upstream that names a limit.
-func (b *bench) permit(_ context.Context, w want.Want) error {
+func (b *bench) permit(_ context.Context, w intent.Intent) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked = append(b.asked, w.ID)
-	if wait := b.full[w.ID]; wait > 0 {
-		return want.NewCrowded(wait)
+	b.asked = append(b.asked, w.EngineID)
+	if wait := b.full[w.EngineID]; wait > 0 {
+		return intent.NewPromptQueueFull(wait)
 	}
 	return b.permitErr
 }
 
-func (b *bench) load(_ context.Context, w want.Want) error {
+func (b *bench) load(_ context.Context, w intent.Intent) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.loads = append(b.loads, w)
-	if b.busy[w.ID] {
-		return want.ErrBusy
+	if b.busy[w.EngineID] {
+		return intent.ErrLoadQueueFull
 	}
-	if wait := b.waits[w.ID]; w.Bound > 0 && wait > w.Bound {
-		return want.NewCrowded(wait)
+	if wait := b.waits[w.EngineID]; w.MaxPromptWait > 0 && wait > w.MaxPromptWait {
+		return intent.NewPromptQueueFull(wait)
 	}
 	return b.loadErr
 }
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"damaskreach/internal/demand"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/kinds"
 	"damaskreach/internal/route"
 	"damaskreach/internal/target"
 	"damaskreach/internal/team"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -136,7 +136,7 @@
 
 // waited reports whether asking for a turn ended because there is none in time.
 func (j *job) waited(err error) bool {
-	return errors.Is(err, want.ErrBusy) || errors.Is(err, context.DeadlineExceeded) && !time.Now().Before(j.hopeless())
+	return errors.Is(err, intent.ErrLoadQueueFull) || errors.Is(err, context.DeadlineExceeded) && !time.Now().Before(j.hopeless())
 }
 
 // again reports whether the request may be sent to another upstream after a send that may have run.
@@ -154,7 +154,7 @@
 
 // place names an upstream in one incarnation.
 func place(t target.Target) string {
-	return t.ID + "/" + strconv.FormatInt(t.Born, 36)
+	return t.ID + "/" + strconv.FormatInt(t.Incarnation, 36)
 }
 
 // fail remembers why a send did not serve the request.
--- a/internal/direct/leaves_test.go
+++ b/internal/direct/leaves_test.go
@@ -10,18 +10,20 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/kinds"
 	"damaskreach/internal/route"
-	"damaskreach/internal/want"
 )
 
 // Two engines begin to leave while an adapter is loaded there, and the request is refused though a third one would load it.
 func TestEnginesThatLeaveCountAsNoFailedLoad(t *testing.T) {
 	for what, leave := range map[string]func(b *bench, id string) error{
-		"as their hosts say": func(*bench, string) error { return want.FromText(want.Text(merry.Wrap(want.ErrLeaves))) },
+		"as their hosts say": func(*bench, string) error {
+			return intent.DecodeError(intent.EncodeError(merry.Wrap(intent.ErrDraining)))
+		},
 		"as they register, and their loads fail": func(b *bench, id string) error {
 			b.drain(id)
-			return want.ErrFailed
+			return intent.ErrLoadFailed
 		},
 		"as they register, and their loads are done": func(b *bench, id string) error {
 			b.drain(id)
@@ -32,9 +34,9 @@
 			b := newBench(t, streamRoute())
 			b.add("three", nil)
 			loads := 0
-			b.Admit = func(_ context.Context, w want.Want) error {
+			b.Admit = func(_ context.Context, w intent.Intent) error {
 				if loads++; loads <= 2 {
-					return leave(b, w.ID)
+					return leave(b, w.EngineID)
 				}
 				return nil
 			}
@@ -52,9 +54,9 @@
 	b.add("three", nil)
 	b.add("four", nil)
 	loads := 0
-	b.Admit = func(context.Context, want.Want) error {
+	b.Admit = func(context.Context, intent.Intent) error {
 		loads++
-		return want.ErrFailed
+		return intent.ErrLoadFailed
 	}
 	if rec, _ := b.call(http.Header{"M": {"m"}, "A": {"m/a"}}); rec.Code != http.StatusServiceUnavailable || loads != 2 {
 		t.Errorf("status = %d after %d loads, want %d after 2", rec.Code, loads, http.StatusServiceUnavailable)
@@ -74,9 +76,9 @@
 		b := newBench(t, streamRoute())
 		delete(b.view.Targets, "two")
 		loads, begun := 0, time.Now()
-		b.Admit = func(context.Context, want.Want) error {
+		b.Admit = func(context.Context, intent.Intent) error {
 			loads++
-			return want.ErrLeaves
+			return intent.ErrDraining
 		}
 		rec, _ := b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
 		if got := time.Since(begun); rec.Code != http.StatusServiceUnavailable || loads != 1 || got > 100*time.Millisecond {
@@ -90,19 +92,19 @@
 func TestEngineThatBeganToLeaveDuringALoadIsNotUsed(t *testing.T) {
 	b := newBench(t, streamRoute())
 	loads := 0
-	b.Admit = func(_ context.Context, w want.Want) error {
+	b.Admit = func(_ context.Context, w intent.Intent) error {
 		loads++
 		if loads > 1 {
-			t.Errorf("load asked of %s, want no other engine asked", w.ID)
+			t.Errorf("load asked of %s, want no other engine asked", w.EngineID)
 			return nil
 		}
 		for id, other := range b.view.Targets {
-			if id != w.ID {
+			if id != w.EngineID {
 				other.Draining = true
 				b.view.Targets[id] = other
 			}
 		}
-		return want.ErrFailed
+		return intent.ErrLoadFailed
 	}
 	rec, _ := b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
 	if got, want := rec.Code, http.StatusServiceUnavailable; got != want {
--- a/internal/direct/list.go
+++ b/internal/direct/list.go
@@ -27,7 +27,7 @@
 }
 
 func among(list []target.Target, t target.Target) bool {
-	return slices.ContainsFunc(list, t.Same)
+	return slices.ContainsFunc(list, t.SameIncarnation)
 }
 
 func without(list []target.Target, id string) []target.Target {
--- a/internal/direct/load.go
+++ b/internal/direct/load.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/target"
-	"damaskreach/internal/turns"
-	"damaskreach/internal/want"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 )
 
@@ -173,7 +173,7 @@
 		if x.failed(t, err) {
 			failures++
 		}
-		if errors.Is(err, want.ErrLeaves) {
+		if errors.Is(err, intent.ErrDraining) {
 			j.skip(t.ID)
 		}
 		others, older = without(others, t.ID), without(older, t.ID)
@@ -183,7 +183,7 @@
 
 // failed reports whether a load that was of no use tells that the next may fail too: not where its engine has a new host, or leaves.
 func (x *Direct) failed(t target.Target, err error) bool {
-	return !errors.Is(err, want.ErrElsewhere) && !errors.Is(err, want.ErrLeaves) && x.still(t)
+	return !errors.Is(err, intent.ErrNotOwner) && !errors.Is(err, intent.ErrDraining) && x.still(t)
 }
 
 // cause names why a load failed, for the line about it.
@@ -191,7 +191,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "no answer"
 	}
-	return want.Code(err)
+	return intent.Code(err)
 }
 
 // awaitOwner waits a moment where no engine can be given orders; it reports false where the request has waited long enough.
@@ -205,7 +205,7 @@
 	if now.Sub(j.ownerless) > ownerWait || !now.Add(ownerLook).Before(j.hopeless()) {
 		return false
 	}
-	return turns.Sleep(ctx, ownerLook)
+	return ticker.Sleep(ctx, ownerLook)
 }
 
 // staying returns the engines of a list that have not begun to leave since it was made: a load before may have taken seconds.
@@ -221,7 +221,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*loadFor)
 	defer cancel()
-	err := x.Admit(ctx, want.Want{ID: t.ID, Model: j.d.Model, Adapter: j.d.Adapter, Version: version, Spread: true})
+	err := x.Admit(ctx, intent.Intent{EngineID: t.ID, Model: j.d.Model, Adapter: j.d.Adapter, Version: version, Background: true})
 	if err == nil {
 		x.Holds.Hit(t.ID, j.d.Adapter)
 	}
--- a/internal/direct/looks_test.go
+++ b/internal/direct/looks_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"damaskreach/internal/demand"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/verd"
 )
 
@@ -68,7 +68,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, armed := endsBehindALook(t, time.Minute)
 		admitted := false
-		b.Admit = func(context.Context, want.Want) error {
+		b.Admit = func(context.Context, intent.Intent) error {
 			time.Sleep(10 * time.Second)
 			admitted = true
 			return nil
--- a/internal/direct/many_test.go
+++ b/internal/direct/many_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"damaskreach/internal/demand"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
 	"damaskreach/internal/route"
-	"damaskreach/internal/want"
 )
 
 // newMany returns a bench with so many upstreams, of which one holds an adapter. All take what comes.
@@ -22,7 +22,7 @@
 	}
 	b.add("u1", map[string]int{"m/a": 1})
 	b.view = b.view.WithTargets(b.view.Targets)
-	b.Admit = func(context.Context, want.Want) error { return nil }
+	b.Admit = func(context.Context, intent.Intent) error { return nil }
 	b.Do = func(context.Context, string, demand.Demand, http.Header, func() bool) (resp.Resp, error) {
 		return answers(http.StatusOK, nil, "", nil)(sent{})
 	}
--- a/internal/direct/moved_test.go
+++ b/internal/direct/moved_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/verd"
 )
 
@@ -93,12 +93,12 @@
 				}
 				return resp.Resp{}, verd.Mark(errors.New("reset"), verd.MayHaveRun)
 			})
-			b.Admit = func(_ context.Context, w want.Want) error {
+			b.Admit = func(_ context.Context, w intent.Intent) error {
 				if len(b.sent) < 2 {
 					return nil
 				}
 				gone()
-				return want.ErrBusy
+				return intent.ErrLoadQueueFull
 			}
 			if _, broken := b.call(held); !broken {
 				t.Error("the answer looks whole, want the connection broken off")
--- a/internal/direct/mover.go
+++ b/internal/direct/mover.go
@@ -8,7 +8,7 @@
 
 	"damaskreach/internal/resp"
 	"damaskreach/internal/target"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -98,7 +98,7 @@
 		if ok {
 			m.drop(next)
 		}
-		turns.Sleep(ctx, moveAgain)
+		ticker.Sleep(ctx, moveAgain)
 	}
 }
 
--- a/internal/direct/patience_test.go
+++ b/internal/direct/patience_test.go
@@ -28,7 +28,7 @@
 		b.loads = nil
 		b.then(answers(http.StatusOK, nil, "id: 8\ndata: x\n\n", nil))
 		b.call(http.Header{"M": {"m"}, "A": {"m/a"}, headLast: {c.last}})
-		if got := b.loads[0].Patience == 0; got != c.late {
+		if got := b.loads[0].TimeLeft == 0; got != c.late {
 			t.Errorf("last event %q: asked as late = %v, want %v", c.last, got, c.late)
 		}
 	}
@@ -45,7 +45,7 @@
 	)
 	b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
 	last := b.loads[len(b.loads)-1]
-	if got, most := last.Patience, 250*time.Millisecond; got <= 0 || got > most {
+	if got, most := last.TimeLeft, 250*time.Millisecond; got <= 0 || got > most {
 		t.Errorf("patience of the rest = %v, want some, at most %v", got, most)
 	}
 }
--- a/internal/direct/permit.go
+++ b/internal/direct/permit.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/spent"
 	"damaskreach/internal/target"
-	"damaskreach/internal/turns"
-	"damaskreach/internal/want"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 )
 
@@ -35,7 +35,7 @@
 		if !x.brittle(all) || j.patience(time.Now(), 0) <= wait {
 			return x.noRoom(j, wait)
 		}
-		turns.Sleep(ctx, wait)
+		ticker.Sleep(ctx, wait)
 		if all = x.candidates(j); len(all) == 0 {
 			return target.Target{}, 0, x.none(j)
 		}
@@ -50,7 +50,7 @@
 		if err == nil {
 			return t, 0, true
 		}
-		if wait := want.Wait(err); shortest < 0 || wait < shortest {
+		if wait := intent.WaitOf(err); shortest < 0 || wait < shortest {
 			shortest = wait
 		}
 	}
@@ -76,22 +76,22 @@
 		return nil
 	}
 	if wait := x.Pick.Waiting(t.ID, time.Now()); brittle && wait > 0 {
-		return want.NewCrowded(wait) // as another request was told a moment ago
+		return intent.NewPromptQueueFull(wait) // as another request was told a moment ago
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitFor)
 	defer cancel()
 	turn := turn{t.ID, rand.Uint64()}
-	err := x.Permit(ctx, want.Want{ID: t.ID, Turn: turn.number, Limit: time.Until(j.deadline())})
+	err := x.Permit(ctx, intent.Intent{EngineID: t.ID, Turn: turn.number, MaxLoadWait: time.Until(j.deadline())})
 	if err == nil {
 		j.seat = turn
 		return nil
 	}
-	if !errors.Is(err, want.ErrCrowded) {
+	if !errors.Is(err, intent.ErrPromptQueueFull) {
 		// Nobody counts at the moment. Sent all the same, the requests of all hosts would add up.
-		err = want.NewCrowded(uncounted)
+		err = intent.NewPromptQueueFull(uncounted)
 	}
 	j.did("over-limit")
-	x.Pick.Waits(t.ID, want.Wait(err), time.Now())
+	x.Pick.Waits(t.ID, intent.WaitOf(err), time.Now())
 	return err
 }
 
--- a/internal/direct/permit_test.go
+++ b/internal/direct/permit_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/kinds"
 	"damaskreach/internal/notice"
 	"damaskreach/internal/pool"
 	"damaskreach/internal/route"
-	"damaskreach/internal/want"
 )
 
 // limited has the host hear that an upstream takes one request a second.
@@ -94,7 +94,7 @@
 		b.limited(id)
 		b.then(answers(200, nil, "", nil))
 		b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
-		if got := b.loads[0].ID; got == id {
+		if got := b.loads[0].EngineID; got == id {
 			t.Errorf("loaded to %s, which is in need, want the other one", got)
 		}
 	}
@@ -103,8 +103,8 @@
 // lose has the host that orders an engine give no answer.
 func (b *bench) lose(id string) {
 	admit := b.Admit
-	b.Admit = func(ctx context.Context, w want.Want) error {
-		if w.ID == id {
+	b.Admit = func(ctx context.Context, w intent.Intent) error {
+		if w.EngineID == id {
 			return errors.New("connection reset")
 		}
 		return admit(ctx, w)
--- a/internal/direct/place.go
+++ b/internal/direct/place.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/stats"
 	"damaskreach/internal/target"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -43,7 +43,7 @@
 	if !j.view.Rules.Pools[j.group].Engine || j.d.Model == "" {
 		return x.plain(ctx, j, all)
 	}
-	able := kept(all, func(t target.Target) bool { return t.Has(j.d.Model) })
+	able := kept(all, func(t target.Target) bool { return t.HasModel(j.d.Model) })
 	if len(able) == 0 {
 		return target.Target{}, 0, refuse.NewRefusal(j.verdict(), refuse.NoUpstream, "no engine holds %s", j.d.Model).WithRetry(comeBack)
 	}
@@ -134,7 +134,7 @@
 func (x *Direct) recent(j *job, older []target.Target, now time.Time) (list []target.Target, until time.Time) {
 	for _, t := range older {
 		held, _ := x.Holds.Version(t, j.d.Adapter, now)
-		ends := j.view.Replaced(j.d.Adapter, held).Add(x.Grace())
+		ends := j.view.ReplacedAt(j.d.Adapter, held).Add(x.Grace())
 		if !now.Before(ends) {
 			continue
 		}
@@ -202,10 +202,10 @@
 			break
 		}
 		err := x.ask(ctx, j, t, version, shortWait)
-		if !errors.Is(err, want.ErrCrowded) {
+		if !errors.Is(err, intent.ErrPromptQueueFull) {
 			return x.admitted(ctx, j, t, version, err)
 		}
-		if wait := want.Wait(err); shortest < 0 || wait < shortest {
+		if wait := intent.WaitOf(err); shortest < 0 || wait < shortest {
 			best, shortest = t, wait
 		}
 	}
@@ -220,10 +220,10 @@
 	if ctx.Err() != nil {
 		return target.Target{}, 0, x.ended(ctx, j)
 	}
-	if errors.Is(err, want.ErrCrowded) || j.waited(err) {
+	if errors.Is(err, intent.ErrPromptQueueFull) || j.waited(err) {
 		return target.Target{}, 0, x.full(j, t)
 	}
-	if errors.Is(err, want.ErrFailed) || errors.Is(err, want.ErrLeaves) || err != nil && (x.Ration.Limited(t.ID) || x.Flight.Brittle(t)) || !x.still(t) {
+	if errors.Is(err, intent.ErrLoadFailed) || errors.Is(err, intent.ErrDraining) || err != nil && (x.Ration.Limited(t.ID) || x.Flight.Brittle(t)) || !x.still(t) {
 		j.fail(t.ID, refuse.NewRefusal(j.verdict(), refuse.NoUpstream, "%s does not serve %s now", t.ID, j.d.Adapter).WithRetry(comeBack))
 		return x.place(ctx, j)
 	}
@@ -250,7 +250,7 @@
 // stillIn reports the same as of a view and a time.
 func (x *Direct) stillIn(v view.View, t target.Target, now time.Time) bool {
 	known, ok := v.Targets[t.ID]
-	return ok && known.Same(t) && !known.Draining && x.Avoid.Takes(known, now)
+	return ok && known.SameIncarnation(t) && !known.Draining && x.Avoid.Takes(known, now)
 }
 
 // stays reports whether an upstream is not about to end, as far as its registration and its answers say.
--- a/internal/direct/refuse_test.go
+++ b/internal/direct/refuse_test.go
@@ -8,11 +8,11 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/kinds"
 	"damaskreach/internal/resp"
 	"damaskreach/internal/route"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 	"damaskreach/pkg/verd"
 )
 
@@ -93,7 +93,7 @@
 	for range 6 {
 		b.call(nil)
 		for id, t := range b.view.Targets {
-			t.Born++
+			t.Incarnation++
 			b.view.Targets[id] = t
 		}
 	}
@@ -111,7 +111,7 @@
 func TestRequestIsRefusedBeforeItsCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, streamRoute())
-		b.Admit = func(ctx context.Context, _ want.Want) error {
+		b.Admit = func(ctx context.Context, _ intent.Intent) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
--- a/internal/direct/send.go
+++ b/internal/direct/send.go
@@ -15,7 +15,7 @@
 	"damaskreach/internal/resp"
 	"damaskreach/internal/stats"
 	"damaskreach/internal/target"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -48,7 +48,7 @@
 			x.refuse(j.w, j, j.fault)
 			return
 		}
-		turns.Sleep(ctx, moveAgain) // all requests share the bound on repeats
+		ticker.Sleep(ctx, moveAgain) // all requests share the bound on repeats
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	for {
 		next, refusal := x.find(ctx, j)
-		if refusal == nil || !j.headed || x.onlyGone(j) || !turns.Sleep(ctx, moveAgain) {
+		if refusal == nil || !j.headed || x.onlyGone(j) || !ticker.Sleep(ctx, moveAgain) {
 			return next, refusal
 		}
 		j.tried = nil // what did not serve it a moment ago may do so now, and there is nothing to lose
--- a/internal/direct/silent_test.go
+++ b/internal/direct/silent_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
-	"damaskreach/internal/want"
 )
 
 const (
@@ -57,9 +57,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := silentBench(t, true)
 		asked := 0
-		b.Admit = func(context.Context, want.Want) error {
+		b.Admit = func(context.Context, intent.Intent) error {
 			if asked++; asked > 1 {
-				return want.ErrBusy
+				return intent.ErrLoadQueueFull
 			}
 			return nil
 		}
@@ -106,7 +106,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := silentBench(t, true)
 		asked := 0
-		b.Admit = func(ctx context.Context, _ want.Want) error {
+		b.Admit = func(ctx context.Context, _ intent.Intent) error {
 			if asked++; asked > 1 {
 				<-ctx.Done()
 				return ctx.Err()
@@ -144,9 +144,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := silentBench(t, true)
 		began := time.Now()
-		b.Admit = func(_ context.Context, w want.Want) error {
-			if w.Begun && time.Since(began) < 2*time.Second {
-				return want.ErrBusy
+		b.Admit = func(_ context.Context, w intent.Intent) error {
+			if w.Streaming && time.Since(began) < 2*time.Second {
+				return intent.ErrLoadQueueFull
 			}
 			return nil
 		}
--- a/internal/direct/team_test.go
+++ b/internal/direct/team_test.go
@@ -85,7 +85,7 @@
 	b.guard(team.Team{Ranked: true, Rank: 0})
 	b.then(answers(200, nil, "", nil))
 	b.call(withKey(secret))
-	if len(b.loads) != 1 || b.loads[0].Rank != 0 {
+	if len(b.loads) != 1 || b.loads[0].Priority != 0 {
 		t.Errorf("turns asked for: %+v, want one of rank 0", b.loads)
 	}
 	if got := b.sent[0].d.Header; got.Get(headTeam) != "red" || got.Get(headKey) != "" {
--- a/internal/direct/turn_test.go
+++ b/internal/direct/turn_test.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"testing"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/resp"
 	"damaskreach/internal/spent"
-	"damaskreach/internal/want"
 )
 
 // turnBench is a bench of engines that hold the adapter, with a record of the turns granted and given back.
@@ -16,10 +16,10 @@
 	b = silentBench(t, true)
 	open = map[uint64]string{}
 	granted := b.Admit
-	b.Admit = func(ctx context.Context, w want.Want) error {
+	b.Admit = func(ctx context.Context, w intent.Intent) error {
 		err := granted(ctx, w)
 		if err == nil {
-			open[w.Turn] = w.ID
+			open[w.Turn] = w.EngineID
 		}
 		return err
 	}
@@ -66,12 +66,12 @@
 	}
 	b, open := turnBench(t)
 	left := b.View
-	b.Admit = func(_ context.Context, w want.Want) error {
-		open[w.Turn] = w.ID
+	b.Admit = func(_ context.Context, w intent.Intent) error {
+		open[w.Turn] = w.EngineID
 		v := left()
-		leaves := v.Targets[w.ID]
+		leaves := v.Targets[w.EngineID]
 		leaves.Draining = true
-		v.Targets[w.ID] = leaves
+		v.Targets[w.EngineID] = leaves
 		return nil
 	}
 	b.call(held)
@@ -84,7 +84,7 @@
 func TestTurnThatCameTooLateIsGivenBack(t *testing.T) {
 	b, _ := turnBench(t)
 	given := 0
-	b.Admit = func(context.Context, want.Want) error { return context.DeadlineExceeded }
+	b.Admit = func(context.Context, intent.Intent) error { return context.DeadlineExceeded }
 	b.Spent = func(spent.Spent) { given++ }
 	b.then(answers(http.StatusOK, nil, firstEvent, nil))
 	b.call(held)
--- a/internal/direct/version_test.go
+++ b/internal/direct/version_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"damaskreach/internal/want"
+	"damaskreach/internal/intent"
 )
 
 // Two versions of an adapter are named, one long ago and one just now, and an engine still holds the one before both, which nobody asked for in
@@ -42,7 +42,7 @@
 	if got, want := b.sent[0].addr, "one:1"; got != want {
 		t.Errorf("sent to %s, want %s, which holds the older version", got, want)
 	}
-	b.view.Named["m/a"][2] = time.Now().Add(-time.Minute)
+	b.view.NamedAt["m/a"][2] = time.Now().Add(-time.Minute)
 	b.then(answers(200, nil, "", nil))
 	b.call(header)
 	if got, want := b.sent[1].extra.Get(headVer), "new"; got != want {
@@ -57,7 +57,7 @@
 		b := newBench(t, streamRoute())
 		b.add("one", map[string]int{"m/a": 1})
 		b.view = b.view.WithVersion("m/a", 2, time.Now())
-		b.Admit = func(ctx context.Context, w want.Want) error {
+		b.Admit = func(ctx context.Context, w intent.Intent) error {
 			if w.Version == 0 {
 				<-ctx.Done()
 				return ctx.Err()
--- a/internal/edge/build.go
+++ b/internal/edge/build.go
@@ -49,10 +49,10 @@
 	usual := &speed.Speed{Before: e.tenure.Rates}
 	e.speeds = speeds.NewSpeeds(usual)
 	e.pick.Slow = e.speeds.Slow
-	e.tenure.Measured, e.tenure.Beside = usual.Rates, e.memoEdits
+	e.tenure.LocalRates, e.tenure.ExtraRows = usual.Rates, e.memoEdits
 	e.jitter = jitter.NewJitter()
 	e.giver = e.buildGiver(s)
-	e.quotas = &quotas.Quotas{Parts: limits.Parts, Held: e.tenure.Counts, Clock: e.Clock, Life: strconv.FormatUint(rand.Uint64(), 36)}
+	e.quotas = &quotas.Quotas{Parts: limits.Parts, Held: e.tenure.LimitFence, Clock: e.Clock, Life: strconv.FormatUint(rand.Uint64(), 36)}
 	e.limits = &limits.Limits{Ask: e.charge, Log: e.Log}
 	e.reach = &reach.Reach{Open: e.Dial, Addrs: e.upstreamAddrs, Changed: e.reachabilityChanged, Log: e.Log}
 	e.uplink = e.buildUplink()
@@ -86,11 +86,11 @@
 // buildTenure creates the component that decides which host owns which engine.
 func (e *Edge) buildTenure(s setup.Setup) *tenure.Tenure {
 	return &tenure.Tenure{
-		Table: e.withPassedRows(e.Table), Store: e.Table, Others: e.rowsFromPeers, Patience: e.storePatience,
-		IP: s.IP, Peers: s.Peers, Callers: s.Callers, Centre: s.Centre, Power: s.Cores,
-		Turn: func() time.Duration { return e.Setup().Turn }, Clock: e.Clock, Pause: e.retryDelay,
-		Blocked: e.unreachable, Yields: e.shouldYield, Ordered: e.lastOrder, Able: e.hostReaches,
-		Engines: e.engines, Live: e.isAlive, Relaxed: e.readsDelegated, Keep: e.feeds.Keep,
+		Table: e.withPassedRows(e.Table), Store: e.Table, ListFromPeers: e.rowsFromPeers, PeerTimeout: e.storePatience,
+		IP: s.IP, PeerAddr: s.Peers, CallerAddr: s.Callers, Centre: s.Centre, Cores: s.Cores,
+		OrderGap: func() time.Duration { return e.Setup().Turn }, Clock: e.Clock, RetryDelay: e.retryDelay,
+		Blocked: e.unreachable, ShouldRelease: e.shouldYield, LastOrder: e.lastOrder, PeerReaches: e.hostReaches,
+		Engines: e.engines, Live: e.isAlive, ReadDelegated: e.readsDelegated, Publish: e.feeds.Keep,
 		Log: e.Log, Stats: e.Stats,
 	}
 }
@@ -98,7 +98,7 @@
 // buildGiver creates the component that sends engines their orders.
 func (e *Edge) buildGiver(s setup.Setup) *loader.Loader {
 	return &loader.Loader{
-		SendOrder: e.sendOrder, FetchState: e.QueryState, Fence: e.tenure.Fence, OwnedEngines: e.tenure.Mine, View: e.intake.View,
+		SendOrder: e.sendOrder, FetchState: e.QueryState, Fence: e.tenure.Fence, OwnedEngines: e.tenure.OwnedEngines, View: e.intake.View,
 		Publish: e.applyStock, FetchMemo: e.readMemo,
 		Flow: flow.NewFlow(), Jitter: e.jitter, Ration: e.ration, DrainAnnounced: e.avoid.Leaves, UnusedAfter: e.unusedAfter, OtherModelLoads: e.modelLoads,
 		ModelLoadWindow: func() time.Duration { return e.Setup().Loads }, Holder: s.IP,
--- a/internal/edge/connlimit.go
+++ b/internal/edge/connlimit.go
@@ -23,5 +23,5 @@
 // that loses its relays hears from nobody, and dozens of hosts that each used the whole budget would send upstreams many times what is
 // allowed.
 func (e *Edge) hostCount() int {
-	return e.tenure.Count()
+	return e.tenure.HostCount()
 }
--- a/internal/edge/farm_test.go
+++ b/internal/edge/farm_test.go
@@ -112,7 +112,7 @@
 		addr = separateAddr(len(f.engines))
 	}
 	m.target = target.Target{
-		ID: id, Born: time.Now().UnixMilli(), Group: "g", Addr: addr, Centre: fmt.Sprint("dc-", len(f.engines)%3), Slots: farmSlots,
+		ID: id, Incarnation: time.Now().UnixMilli(), Group: "g", Addr: addr, Centre: fmt.Sprint("dc-", len(f.engines)%3), Slots: farmSlots,
 	}
 	f.engines[id] = m
 	f.mu.Unlock()
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, m := time.Now(), f.engines[c.Target.ID]
-	s := state.State{Born: m.target.Born, Sequence: m.target.Sequence, Adapters: m.heldAdapters(now), Pending: map[string]int{}}
+	s := state.State{Incarnation: m.target.Incarnation, Sequence: m.target.Sequence, Adapters: m.heldAdapters(now), Pending: map[string]int{}}
 	for a := range m.readyAt {
 		switch {
 		case a == "" && m.has(a, now):
@@ -233,7 +233,7 @@
 	e.DecodeRules = func(row rows.Row) (rules.Rules, bool, error) {
 		r, ok, err := conf(row)
 		r.Pools = map[string]pool.Pool{"g": {
-			Name: "g", MaxConns: 5000, Engine: true, Slots: farmSlots, Places: farmPlaces, Memory: 1000,
+			Name: "g", MaxConns: 5000, Engine: true, Slots: farmSlots, MaxAdapters: farmPlaces, MemoryMB: 1000,
 			Models: []model.Model{{Name: "m", Size: 900, Load: baseLoadTime, Adapter: 1}},
 		}}
 		r.Routes = map[string][]route.Route{"a.example": {{
--- a/internal/edge/memo.go
+++ b/internal/edge/memo.go
@@ -42,14 +42,14 @@
 	var edits []rows.Row
 	for id, m := range e.giver.Memos() {
 		if len(edits) < maxMemoEdits {
-			edits = append(edits, rows.Row{Key: memoPrefix + id, Value: m.Encode(), Rev: rows.Any})
+			edits = append(edits, rows.Row{Key: memoPrefix + id, Value: m.Encode(), Rev: rows.AnyRev})
 			e.memoWriter.written[id] = true
 		}
 	}
 	targets := e.intake.View().Targets
 	for id := range e.memoWriter.written {
 		if _, ok := targets[id]; !ok && len(edits) < maxMemoEdits {
-			edits = append(edits, rows.Row{Key: memoPrefix + id, Gone: true, Rev: rows.Any})
+			edits = append(edits, rows.Row{Key: memoPrefix + id, Gone: true, Rev: rows.AnyRev})
 			delete(e.memoWriter.written, id)
 		}
 	}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -10,6 +10,7 @@
 	"damaskreach/internal/charge"
 	"damaskreach/internal/chunk"
 	"damaskreach/internal/gossip"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/mates"
 	"damaskreach/internal/peer"
@@ -18,8 +19,7 @@
 	"damaskreach/internal/setup"
 	"damaskreach/internal/spent"
 	"damaskreach/internal/stock"
-	"damaskreach/internal/turns"
-	"damaskreach/internal/want"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -53,7 +53,7 @@
 // runPeers joins the other hosts once their shared secret is known.
 func (e *Edge) runPeers(ctx context.Context, s setup.Setup) {
 	for e.tenure.Secret() == nil {
-		if !turns.Sleep(ctx, secretPollInterval) {
+		if !ticker.Sleep(ctx, secretPollInterval) {
 			return
 		}
 	}
@@ -69,15 +69,15 @@
 	peer.Answer(mesh, methodTell, func(_ context.Context, _ string, g gossip.Gossip) (gossip.Gossip, error) {
 		return m.Answer(g), nil
 	})
-	peer.Answer(mesh, methodAdmit, func(ctx context.Context, _ string, w want.Want) (string, error) {
+	peer.Answer(mesh, methodAdmit, func(ctx context.Context, _ string, w intent.Intent) (string, error) {
 		e.applyLimit(w)
-		return want.Text(e.giver.Admit(ctx, w)), nil
+		return intent.EncodeError(e.giver.Admit(ctx, w)), nil
 	})
 	peer.Answer(mesh, methodSpent, func(_ context.Context, _ string, s spent.Spent) (struct{}, error) {
 		e.endTurn(s)
 		return struct{}{}, nil
 	})
-	peer.Answer(mesh, methodPermit, func(_ context.Context, _ string, w want.Want) (ruling.Ruling, error) {
+	peer.Answer(mesh, methodPermit, func(_ context.Context, _ string, w intent.Intent) (ruling.Ruling, error) {
 		return e.countHere(w), nil
 	})
 	peer.Answer(mesh, methodPiece, func(_ context.Context, from string, q piece.Piece) (chunk.Chunk, error) {
@@ -123,17 +123,17 @@
 	e.fetchNamed(ctx, g)
 	e.applyMarks(g, now)
 	for _, b := range g.Hosts {
-		for id, n := range b.Loads {
+		for id, n := range b.Requests {
 			e.pick.Told(id, n, now)
 		}
-		for id, ms := range b.Waits {
+		for id, ms := range b.PromptWaits {
 			e.pick.Waits(id, time.Duration(ms)*time.Millisecond, now)
 		}
-		e.activity.setModelLoads(b.IP, b.Models)
+		e.activity.setModelLoads(b.IP, b.ModelLoads)
 	}
 	for _, s := range g.Held {
-		e.holds.Tell(s.ID, s.Born, s.Sequence, s.Adapters)
-		e.speeds.Told(s.ID, s.Event)
+		e.holds.Tell(s.ID, s.Incarnation, s.Sequence, s.Adapters)
+		e.speeds.Told(s.ID, s.EventInterval)
 	}
 	e.blame.Hear(g.Broke, now)
 	e.giver.RecordUsage(g.Uses, now)
@@ -141,9 +141,9 @@
 
 // applyStock applies the state of an engine that this host owns.
 func (e *Edge) applyStock(s stock.Stock) {
-	e.holds.Tell(s.ID, s.Born, s.Sequence, s.Adapters)
-	e.holds.Recall(s.ID, s.Born, s.Recent)
-	e.speeds.Told(s.ID, s.Event)
+	e.holds.Tell(s.ID, s.Incarnation, s.Sequence, s.Adapters)
+	e.holds.Recall(s.ID, s.Incarnation, s.Recent)
+	e.speeds.Told(s.ID, s.EventInterval)
 	e.roster.Held(s)
 }
 
@@ -174,24 +174,24 @@
 
 // admit asks an engine's owner to load an adapter and waits until a prompt may be sent. If the engine holds the adapter, a fallback host
 // grants the turn while the owner is down.
-func (e *Edge) admit(ctx context.Context, w want.Want) error {
-	owner := e.tenure.Owner(w.ID)
-	if w.Held {
-		owner = e.turnGranter(w.ID)
+func (e *Edge) admit(ctx context.Context, w intent.Intent) error {
+	owner := e.tenure.Owner(w.EngineID)
+	if w.Loaded {
+		owner = e.turnGranter(w.EngineID)
 	}
-	w.Host = e.Setup().IP
-	if owner == w.Host {
+	w.Requester = e.Setup().IP
+	if owner == w.Requester {
 		return e.giver.Admit(ctx, w)
 	}
 	mesh := e.mesh.Load()
 	if mesh == nil {
-		return want.ErrElsewhere
+		return intent.ErrNotOwner
 	}
 	var text string
 	if err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodAdmit, e.withLimit(w), &text); err != nil {
 		return err
 	}
-	return want.FromText(text)
+	return intent.DecodeError(text)
 }
 
 // reportTurnEnd tells the host that granted a turn that it has ended. If the message is lost, the prompt counts as read some time after it
@@ -244,7 +244,7 @@
 	}
 	mesh := e.mesh.Load()
 	if mesh == nil || !e.isAlive(owner) {
-		return ruling.Ruling{}, want.ErrElsewhere
+		return ruling.Ruling{}, intent.ErrNotOwner
 	}
 	var r ruling.Ruling
 	err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodCharge, c, &r)
--- a/internal/edge/reachability.go
+++ b/internal/edge/reachability.go
@@ -33,9 +33,9 @@
 		m.Nudge()
 	}
 	if lost {
-		time.AfterFunc(yieldDelay, e.tenure.Look)
+		time.AfterFunc(yieldDelay, e.tenure.ClaimSoon)
 	} else {
-		e.tenure.Look()
+		e.tenure.ClaimSoon()
 	}
 }
 
--- a/internal/edge/report.go
+++ b/internal/edge/report.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"damaskreach/internal/busy"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/status"
+	"damaskreach/internal/ticker"
 	"damaskreach/internal/usage"
 )
 
@@ -14,7 +14,7 @@
 
 // reportToSelf does for the engines whose turns this host grants what messages do for those of other hosts.
 func (e *Edge) reportToSelf(ctx context.Context) {
-	for range turns.Every(ctx, selfReportInterval) {
+	for range ticker.Every(ctx, selfReportInterval) {
 		e.updateFallback()
 		ip := e.Setup().IP
 		e.giver.RecordUsage(e.engineUsages(ip, e.grantsTurns), time.Now())
@@ -22,10 +22,10 @@
 }
 
 // ownStatus returns what this host reports of itself.
-func (e *Edge) ownStatus() (own busy.Busy, uses []usage.Usage, broke []string) {
-	own = busy.Busy{
-		Leaving: e.leaving.Load(), Lapsed: e.tenure.Left() <= 0, Away: e.intake.Away(), Cut: e.reach.Cut() > 0,
-		Loads: e.engineLoads(), Waits: e.engineWaits(), Models: e.giver.LoadingModels(),
+func (e *Edge) ownStatus() (own status.Status, uses []usage.Usage, broke []string) {
+	own = status.Status{
+		Leaving: e.leaving.Load(), LeaseLapsed: e.tenure.LeaseLeft() <= 0, StoreDown: e.intake.Away(), Isolated: e.reach.Cut() > 0,
+		Requests: e.engineLoads(), PromptWaits: e.engineWaits(), ModelLoads: e.giver.LoadingModels(),
 	}
 	uses = e.engineUsages(e.Setup().IP, func(id string) bool { return !e.grantsTurns(id) })
 	return own, uses, e.blame.News()
--- a/internal/edge/selflimit_test.go
+++ b/internal/edge/selflimit_test.go
@@ -70,7 +70,7 @@
 	e.DecodeRules = func(row rows.Row) (rules.Rules, bool, error) {
 		r, ok, err := conf(row)
 		r.Pools = map[string]pool.Pool{"g": {
-			Name: "g", MaxConns: 5000, Engine: true, Slots: 64, Places: 4, Memory: 1000, Models: []model.Model{{Name: "m", Adapter: 1}},
+			Name: "g", MaxConns: 5000, Engine: true, Slots: 64, MaxAdapters: 4, MemoryMB: 1000, Models: []model.Model{{Name: "m", Adapter: 1}},
 		}}
 		return r, ok, err
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -73,7 +73,7 @@
 
 func (e *Edge) ready() bool {
 	v := e.intake.View()
-	return !e.leaving.Load() && v.Known() && len(v.Targets) > 0
+	return !e.leaving.Load() && v.HasRules() && len(v.Targets) > 0
 }
 
 // lookupAddrs returns the addresses of serving hosts for callers in a data centre.
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -116,7 +116,7 @@
 	era, _ := rows.Era(s.rev)
 	again := func(rev int64) int64 {
 		_, number := rows.Era(rev)
-		return rows.At(era+1, number)
+		return rows.NewRev(era+1, number)
 	}
 	s.rev, s.rows, s.log = again(from.rev), map[string]rows.Row{}, nil
 	for key, row := range from.rows {
@@ -287,13 +287,13 @@
 
 func (s *store) commit(edits []rows.Row) (int64, error) {
 	for _, e := range edits {
-		if now := s.rows[e.Key]; e.Rev != rows.Any && now.Rev != e.Rev {
+		if now := s.rows[e.Key]; e.Rev != rows.AnyRev && now.Rev != e.Rev {
 			return 0, table.NewConflict([]string{e.Key})
 		}
 	}
 	s.rev++
 	for _, e := range edits {
-		if !e.Same {
+		if !e.CheckOnly {
 			e.Rev = s.rev
 			s.set(e)
 		}
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -94,7 +94,7 @@
 
 // covers reports whether this host knows the store as far as another host's read went.
 func (e *Edge) covers(read marks.Marks) bool {
-	return e.intake.Covers(read) && e.tenure.Covers(read.Fleet)
+	return e.intake.Covers(read) && e.tenure.HasRead(read.Fleet)
 }
 
 // readMarks returns how far this host knows the store and how old the newest read is, its own or a reported one; nil without either. A host
@@ -111,7 +111,7 @@
 	if !ok || heard && age.Milliseconds() < known.Age {
 		known.Age = age.Milliseconds()
 	}
-	known.Fleet = e.tenure.Mark()
+	known.Fleet = e.tenure.NewestRev()
 	return &known
 }
 
@@ -168,7 +168,7 @@
 // wakeReads has what another host knows read, unless this one knows as much by now.
 func (e *Edge) wakeReads(read marks.Marks) {
 	e.intake.Wake(read)
-	e.tenure.Wake(read.Fleet)
+	e.tenure.NotifyNewer(read.Fleet)
 }
 
 // announceRead tells others of a read at once: a host does not rely on any read for long.
@@ -180,7 +180,7 @@
 
 // announceChange tells others of a change at once, and looks for engines without an owner.
 func (e *Edge) announceChange() {
-	e.tenure.Look()
+	e.tenure.ClaimSoon()
 	if m := e.mates.Load(); m != nil && e.isReader() {
 		m.Nudge()
 	}
--- a/internal/edge/sweep.go
+++ b/internal/edge/sweep.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -15,7 +15,7 @@
 )
 
 func (e *Edge) sweep(ctx context.Context) {
-	for range turns.Every(ctx, sweepInterval) {
+	for range ticker.Every(ctx, sweepInterval) {
 		v, now := e.intake.View(), time.Now()
 		e.uplink.Sweep()
 		if limit := v.Rules.IdleFor; limit > 0 {
--- a/internal/extend/extend.go
+++ b/internal/extend/extend.go
@@ -18,7 +18,7 @@
 	"damaskreach/internal/member"
 	"damaskreach/internal/peer"
 	"damaskreach/internal/sess"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -77,7 +77,7 @@
 
 // Run asks for promises whenever a renewal is overdue, until ctx ends.
 func (e *Extend) Run(ctx context.Context) {
-	for range turns.Every(ctx, e.Every) {
+	for range ticker.Every(ctx, e.Every) {
 		if e.overdue() {
 			e.ask(ctx)
 		}
--- a/internal/feeds/feeds_test.go
+++ b/internal/feeds/feeds_test.go
@@ -146,15 +146,15 @@
 	reader, member := feeds.NewFeeds(), feeds.NewFeeds()
 	reader.Keep(prefix, feed.Whole, 10, nil)
 	member.Keep(prefix, feed.Whole, 12, nil)
-	reader.Keep(prefix, 10, rows.At(1, 9), []rows.Row{row("a", rows.At(1, 8))})
+	reader.Keep(prefix, 10, rows.NewRev(1, 9), []rows.Row{row("a", rows.NewRev(1, 8))})
 	pass(reader, member)
 	if list, _, ok := member.Tail(prefix, 12); ok {
 		t.Errorf("Tail(12) = %v, want none", list)
 	}
-	member.Keep(prefix, 12, rows.At(1, 9), nil)
-	reader.Keep(prefix, rows.At(1, 9), rows.At(1, 10), []rows.Row{row("b", rows.At(1, 10))})
+	member.Keep(prefix, 12, rows.NewRev(1, 9), nil)
+	reader.Keep(prefix, rows.NewRev(1, 9), rows.NewRev(1, 10), []rows.Row{row("b", rows.NewRev(1, 10))})
 	pass(reader, member)
-	wantTail(t, member, rows.At(1, 9), rows.At(1, 10), "b")
+	wantTail(t, member, rows.NewRev(1, 9), rows.NewRev(1, 10), "b")
 }
 
 // All rows of the configuration are there in a new era. Each host would read them from the store, one after the other and too late for some.
@@ -163,14 +163,14 @@
 	for _, f := range []*feeds.Feeds{reader, relay, member} {
 		f.Keep(prefix, feed.Whole, 10, nil)
 	}
-	all := []rows.Row{row("a", rows.At(1, 3)), row("b", rows.At(1, 8))}
-	reader.Keep(prefix, feed.Start, rows.At(1, 9), all)
+	all := []rows.Row{row("a", rows.NewRev(1, 3)), row("b", rows.NewRev(1, 8))}
+	reader.Keep(prefix, feed.Start, rows.NewRev(1, 9), all)
 	pass(reader, relay)
-	wantTail(t, relay, 10, rows.At(1, 9), "a", "b")
-	relay.Keep(prefix, feed.Start, rows.At(1, 9), all)
+	wantTail(t, relay, 10, rows.NewRev(1, 9), "a", "b")
+	relay.Keep(prefix, feed.Start, rows.NewRev(1, 9), all)
 	pass(relay, member)
-	wantTail(t, member, 10, rows.At(1, 9), "a", "b")
-	reader.Keep(prefix, rows.At(1, 9), rows.At(1, 12), []rows.Row{row("a", rows.At(1, 12))})
+	wantTail(t, member, 10, rows.NewRev(1, 9), "a", "b")
+	reader.Keep(prefix, rows.NewRev(1, 9), rows.NewRev(1, 12), []rows.Row{row("a", rows.NewRev(1, 12))})
 	pass(reader, relay)
-	wantTail(t, relay, rows.At(1, 9), rows.At(1, 12), "a")
+	wantTail(t, relay, rows.NewRev(1, 9), rows.NewRev(1, 12), "a")
 }
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -15,7 +15,7 @@
 	"damaskreach/internal/past"
 	"damaskreach/internal/piece"
 	"damaskreach/internal/rows"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -83,7 +83,7 @@
 		case c.WaitMS > 0 && time.Since(waits) > queueFor:
 			return merry.Errorf("waited for %v", time.Since(waits))
 		case c.WaitMS > 0:
-			turns.Sleep(ctx, time.Duration(c.WaitMS)*time.Millisecond)
+			ticker.Sleep(ctx, time.Duration(c.WaitMS)*time.Millisecond)
 			continue
 		case c.Size == 0:
 			return ErrNone
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -16,7 +16,7 @@
 	"damaskreach/internal/peer"
 	"damaskreach/internal/rows"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -72,7 +72,7 @@
 	case <-ctx.Done():
 		return
 	}
-	for range turns.Now(ctx, f.Poll, nil) {
+	for range ticker.Repeat(ctx, f.Poll, nil) {
 		f.turn(ctx)
 	}
 }
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -9,7 +9,7 @@
 
 	"damaskreach/internal/object"
 	"damaskreach/internal/snap"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -40,7 +40,7 @@
 		return
 	}
 	var written int64
-	for range turns.Every(ctx, snapshotRate) {
+	for range ticker.Every(ctx, snapshotRate) {
 		if c := f.Catalog(); c.Complete() > written && f.Chosen(snapshotName) {
 			written = f.writeSnapshot(ctx, written)
 		}
--- a/internal/force/force.go
+++ b/internal/force/force.go
@@ -16,7 +16,7 @@
 
 	"damaskreach/internal/sess"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -71,7 +71,7 @@
 				lags = append(lags, a.node.ID()+" "+a.lag)
 			}
 		}
-		if len(waiting) == 0 || !turns.Sleep(ctx, pause) {
+		if len(waiting) == 0 || !ticker.Sleep(ctx, pause) {
 			break
 		}
 	}
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -98,7 +98,7 @@
 func (h *Holds) Left(t target.Target, adapter string) bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.left[adapter] == place{t.ID, t.Born}
+	return h.left[adapter] == place{t.ID, t.Incarnation}
 }
 
 // Miss records that an engine rejected a request because it does not hold the adapter.
@@ -125,7 +125,7 @@
 // version needs the lock.
 func (h *Holds) version(t target.Target, adapter string, now time.Time) (int, bool) {
 	held := t.Adapters
-	if known, ok := h.told[t.ID]; ok && known.born == t.Born && known.sequence >= t.Sequence {
+	if known, ok := h.told[t.ID]; ok && known.born == t.Incarnation && known.sequence >= t.Sequence {
 		held = known.adapters
 	}
 	version, ok := held[adapter]
--- a/internal/holds/holds_test.go
+++ b/internal/holds/holds_test.go
@@ -11,7 +11,7 @@
 var now = time.Unix(1000, 0)
 
 func engine(born, sequence int64, adapters map[string]int) target.Target {
-	return target.Target{ID: "e", Born: born, Sequence: sequence, Adapters: adapters}
+	return target.Target{ID: "e", Incarnation: born, Sequence: sequence, Adapters: adapters}
 }
 
 // The order giver has had an adapter loaded, and the engine's registration is a second old. Requests go there at once
@@ -92,7 +92,7 @@
 	h := holds.NewHolds()
 	var list []target.Target
 	for id, version := range map[string]int{"new": 3, "newer": 4, "old": 2, "rejects": 3, "none": 0} {
-		one := target.Target{ID: id, Born: 1}
+		one := target.Target{ID: id, Incarnation: 1}
 		if version > 0 {
 			one.Adapters = map[string]int{"m/a": version}
 		}
--- a/internal/intake/conf_test.go
+++ b/internal/intake/conf_test.go
@@ -39,10 +39,10 @@
 		s.set(func() { s.rows["op/"] = []rows.Row{{Key: "op/new", Value: []byte{2}}} })
 		time.Sleep(1500 * time.Millisecond)
 		v := i.View()
-		if got := v.Named["op/old"][2]; !got.IsZero() || v.Versions["op/old"] != 2 {
+		if got := v.NamedAt["op/old"][2]; !got.IsZero() || v.Versions["op/old"] != 2 {
 			t.Errorf("version of before the start: %d, named %v, want 2 at an unknown time", v.Versions["op/old"], got)
 		}
-		if got := time.Since(v.Named["op/new"][2]); got > 2*time.Second || v.Versions["op/new"] != 2 {
+		if got := time.Since(v.NamedAt["op/new"][2]); got > 2*time.Second || v.Versions["op/new"] != 2 {
 			t.Errorf("version of after the start: %d, named %v ago, want 2, a moment ago", v.Versions["op/new"], got)
 		}
 	})
--- a/internal/intake/copied.go
+++ b/internal/intake/copied.go
@@ -28,7 +28,7 @@
 
 // hold holds a registration back that says less than is known of its upstream; old is empty where nothing is.
 func (c *copied) hold(old, t target.Target, rev int64) bool {
-	if old.Same(t) && (t.Draining || !old.Draining) {
+	if old.SameIncarnation(t) && (t.Draining || !old.Draining) {
 		return false
 	}
 	c.waits[t.ID] = rev
--- a/internal/intake/copied_test.go
+++ b/internal/intake/copied_test.go
@@ -21,7 +21,7 @@
 func startBorn(t *testing.T, s *source) *intake.Intake {
 	return start(t, s, func(i *intake.Intake) {
 		i.Target = func(row rows.Row) (target.Target, error) {
-			return target.Target{ID: row.Key[3:], Born: int64(row.Value[0]), Slots: 1}, nil
+			return target.Target{ID: row.Key[3:], Incarnation: int64(row.Value[0]), Slots: 1}, nil
 		}
 	})
 }
@@ -30,7 +30,7 @@
 func (s *source) comeBack(list ...rows.Row) {
 	s.set(func() {
 		era, number := rows.Era(s.rev)
-		s.rev, s.gone = rows.At(era+1, number), true
+		s.rev, s.gone = rows.NewRev(era+1, number), true
 		s.rows["up/"] = list
 	})
 }
@@ -48,16 +48,16 @@
 		s := &source{rows: map[string][]rows.Row{"up/": {written("a", 2, 1)}}}
 		i := startBorn(t, s)
 		time.Sleep(3 * time.Second)
-		s.comeBack(written("a", 1, rows.At(1, 1)))
+		s.comeBack(written("a", 1, rows.NewRev(1, 1)))
 		time.Sleep(1500 * time.Millisecond)
-		if got, want := i.View().Targets["a"].Born, int64(2); got != want {
+		if got, want := i.View().Targets["a"].Incarnation, int64(2); got != want {
 			t.Errorf("started at %d, want %d: the copy is older", got, want)
 		}
 		s.set(func() { s.rows["up/"] = nil })
 		again := s.now("a", 3)
 		s.set(func() { s.rows["up/"] = []rows.Row{again} })
 		time.Sleep(1500 * time.Millisecond)
-		if got, want := i.View().Targets["a"].Born, int64(3); got != want {
+		if got, want := i.View().Targets["a"].Incarnation, int64(3); got != want {
 			t.Errorf("started at %d, want %d: it was written after the return", got, want)
 		}
 	})
@@ -69,7 +69,7 @@
 		s := &source{rows: map[string][]rows.Row{"up/": {written("a", 1, 1)}}}
 		i := startBorn(t, s)
 		time.Sleep(3 * time.Second)
-		s.comeBack(written("a", 1, rows.At(1, 1)), written("b", 1, rows.At(1, 1)))
+		s.comeBack(written("a", 1, rows.NewRev(1, 1)), written("b", 1, rows.NewRev(1, 1)))
 		time.Sleep(3 * time.Second)
 		if got, want := len(i.View().Targets), 1; got != want {
 			t.Errorf("upstreams = %d after 3 s, want %d", got, want)
@@ -88,7 +88,7 @@
 		s := &source{rows: map[string][]rows.Row{"up/": {written("a", 1, 1), written("b", 1, 1)}}}
 		startBorn(t, s)
 		time.Sleep(3500 * time.Millisecond)
-		s.comeBack(written("a", 1, rows.At(1, 1)), written("b", 1, rows.At(1, 1)))
+		s.comeBack(written("a", 1, rows.NewRev(1, 1)), written("b", 1, rows.NewRev(1, 1)))
 		time.Sleep(time.Second) // within which there is one reading
 		s.set(func() { s.gone, s.asks, s.tails = false, 0, 0 })
 		time.Sleep(5 * time.Second)
--- a/internal/intake/first_test.go
+++ b/internal/intake/first_test.go
@@ -117,7 +117,7 @@
 // force; by the copy alone, this one would serve routes and keys that were taken away.
 func TestHostThatStartsTakesTheConfigurationInForceFromOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"op/": {{Key: "op/config", Value: []byte{7}, Rev: rows.At(1, 1)}}, "up/": {reg("a")}}, rev: rows.At(1, 1)}
+		s := &source{rows: map[string][]rows.Row{"op/": {{Key: "op/config", Value: []byte{7}, Rev: rows.NewRev(1, 1)}}, "up/": {reg("a")}}, rev: rows.NewRev(1, 1)}
 		ready := false // under the lock of s
 		asked := 0
 		i := start(t, s, func(i *intake.Intake) {
@@ -127,7 +127,7 @@
 				if prefix == "op/" && ready {
 					asked++
 				}
-				return []rows.Row{{Key: "op/config", Value: []byte{9}, Rev: 5}}, rows.At(1, 1), prefix == "op/" && ready
+				return []rows.Row{{Key: "op/config", Value: []byte{9}, Rev: 5}}, rows.NewRev(1, 1), prefix == "op/" && ready
 			}
 		})
 		time.Sleep(time.Second)
--- a/internal/intake/others.go
+++ b/internal/intake/others.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damaskreach/internal/rows"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // askOthers asks other hosts for all rows under a prefix, with a pause after each try, until one tells them or the patience ends.
 func (i *Intake) askOthers(ctx context.Context, prefix string, pause time.Duration, patience func() time.Duration) (list []rows.Row, rev int64, ok bool) {
-	turns.Try(ctx, pause, patience, func() bool {
+	ticker.Retry(ctx, pause, patience, func() bool {
 		list, rev, ok = i.Others(ctx, prefix)
 		return ok
 	})
--- a/internal/intake/reading.go
+++ b/internal/intake/reading.go
@@ -96,7 +96,7 @@
 // orTold returns all registrations as another host knows them in the newest era, where this host knows those of an older one and the store does not
 // answer it: changes alone are passed on within an era, and it would get none.
 func (i *Intake) orTold(ctx context.Context, after int64, failed reading) reading {
-	newest := rows.At(i.era.Load()-1, 0)
+	newest := rows.NewRev(i.era.Load()-1, 0)
 	if !older(after, newest) {
 		return failed
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -14,7 +14,7 @@
 	"damaskreach/internal/rows"
 	"damaskreach/internal/sess"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // Points at which a test may pause the holder.
@@ -118,7 +118,7 @@
 
 // Run renews the lease until ctx ends.
 func (l *Lease) Run(ctx context.Context) {
-	for range turns.Now(ctx, l.renew, l.wake) {
+	for range ticker.Repeat(ctx, l.renew, l.wake) {
 		l.step(ctx)
 	}
 }
--- a/internal/ledger/keep.go
+++ b/internal/ledger/keep.go
@@ -14,7 +14,7 @@
 	"damaskreach/internal/event"
 	"damaskreach/internal/rows"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // write writes what was gathered, window by window, until ctx ends.
 func (l *Ledger) write(ctx context.Context) {
-	for range turns.Every(ctx, tick/4) {
+	for range ticker.Every(ctx, tick/4) {
 		if events, waiting := l.due(time.Now()); len(events) > 0 {
 			err := l.writeRow(ctx, events)
 			for _, done := range waiting {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -19,7 +19,7 @@
 	"damaskreach/internal/rows"
 	"damaskreach/internal/sess"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -97,7 +97,7 @@
 // Run passes events on and writes, as keeper, those of others until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	go l.write(ctx)
-	for range turns.Every(ctx, tick) {
+	for range ticker.Every(ctx, tick) {
 		if batch := l.take(); len(batch) > 0 {
 			go func() { _ = l.pass(ctx, batch, false) }() // a later pass repeats it
 		}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -18,7 +18,7 @@
 	"damaskreach/internal/charge"
 	"damaskreach/internal/ruling"
 	"damaskreach/internal/team"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
 )
@@ -89,7 +89,7 @@
 				WithRetry(max(leastRetry, wait))
 		}
 		l.giveBack(grants)
-		if !errors.Is(err, errSilent) && !turns.Sleep(ctx, lookEvery) || ctx.Err() != nil {
+		if !errors.Is(err, errSilent) && !ticker.Sleep(ctx, lookEvery) || ctx.Err() != nil {
 			return nil, refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "no host tells what is left of the limit of team %s", t.Name).
 				WithRetry(unknownRetry)
 		}
--- a/internal/loader/basemodel.go
+++ b/internal/loader/basemodel.go
@@ -29,8 +29,8 @@
 	case !d.modelLoadStart.IsZero():
 		e = d.repeatOrder(t, order)
 		d.modelPollAt = time.Now().Add(10 * pollInterval)
-	case t.AtHand(m.Name) || d.loader.beginModelLoad(d.pool(t).LoadRate):
-		d.modelFromStore = !t.AtHand(m.Name)
+	case t.HasWeights(m.Name) || d.loader.beginModelLoad(d.pool(t).LoadRate):
+		d.modelFromStore = !t.HasWeights(m.Name)
 		d.modelLoadStart = time.Now()
 		e = d.issueOrder(t, order)
 		if e != effect.Accepted && e != effect.Done {
--- a/internal/loader/begun_test.go
+++ b/internal/loader/begun_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"damaskreach/internal/want"
+	"damaskreach/internal/intent"
 )
 
 // A quarter of the engines fails under load. The rest of a started answer must not queue behind new requests: if refused, its
@@ -21,22 +21,22 @@
 		var group sync.WaitGroup
 		start := time.Now()
 		for i := range fresh + begun {
-			w := want.Want{
-				ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
-				Patience: patience, Limit: callerTimeout, Begun: i >= fresh,
+			w := intent.Intent{
+				EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: cost, StallBudget: 230 * time.Millisecond, PauseTail: 30 * time.Millisecond,
+				TimeLeft: patience, MaxLoadWait: callerTimeout, Streaming: i >= fresh,
 			}
-			if w.Begun {
-				w.Patience, w.Rank = 0, 5
+			if w.Streaming {
+				w.TimeLeft, w.Priority = 0, 5
 			}
 			group.Go(func() {
 				err := l.Admit(t.Context(), w)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
-					refused[w.Begun]++
+					refused[w.Streaming]++
 					return
 				}
-				waits[w.Begun] = append(waits[w.Begun], time.Since(start))
+				waits[w.Streaming] = append(waits[w.Streaming], time.Since(start))
 			})
 		}
 		group.Wait()
--- a/internal/loader/bench_test.go
+++ b/internal/loader/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/usage"
-	"damaskreach/internal/want"
 )
 
 // BenchmarkBurstOfGrants measures the time to grant turns to a burst of waiting requests once their slots are free.
@@ -16,8 +16,8 @@
 	e.ownedElsewhere, e.slots = true, burst
 	l := newLoader(e)
 	go l.Run(b.Context())
-	w := want.Want{
-		ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Held: true, Cost: cost, Room: time.Hour, Tail: time.Millisecond, Patience: time.Hour,
+	w := intent.Intent{
+		EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), Loaded: true, PromptCost: cost, StallBudget: time.Hour, PauseTail: time.Millisecond, TimeLeft: time.Hour,
 	}
 	time.Sleep(time.Millisecond)
 	at := time.Now()
@@ -29,7 +29,7 @@
 		var group sync.WaitGroup
 		for i := range burst {
 			one := w
-			one.Rank = i % 3
+			one.Priority = i % 3
 			group.Go(func() {
 				if err := l.Admit(b.Context(), one); err != nil {
 					b.Error(err)
--- a/internal/loader/draining_test.go
+++ b/internal/loader/draining_test.go
@@ -7,15 +7,15 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/loader"
-	"damaskreach/internal/want"
 )
 
 // drainNotifyTimeout is within which a waiting request is refused once its engine drains.
 const drainNotifyTimeout = 350 * time.Millisecond
 
 // admitWhileDraining admits a request to an engine that starts to drain meanwhile, and returns the result and its delay after that.
-func admitWhileDraining(t *testing.T, e *engine, l *loader.Loader, w want.Want) (refusedAfter time.Duration, err error) {
+func admitWhileDraining(t *testing.T, e *engine, l *loader.Loader, w intent.Intent) (refusedAfter time.Duration, err error) {
 	t.Helper()
 	const drainDelay = 50 * time.Millisecond
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -37,20 +37,20 @@
 }
 
 // heldPrompt is a prompt for an adapter that the engine holds.
-func heldPrompt() want.Want {
-	return want.Want{
-		ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: time.Millisecond, Held: true, Room: time.Second, Limit: 3 * time.Second,
+func heldPrompt() intent.Intent {
+	return intent.Intent{
+		EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: time.Millisecond, Loaded: true, StallBudget: time.Second, MaxLoadWait: 3 * time.Second,
 	}
 }
 
 // An engine starts to drain while requests wait there for a load or a turn that will never come. If not refused at once, they
 // wait until they time out although other engines have room.
 func TestWaitingRequestsAreRefusedWhenTheEngineDrains(t *testing.T) {
-	load := want.Want{ID: "e", Host: "h", Model: "m", Adapter: adapterName(1), Limit: 3 * time.Second}
+	load := intent.Intent{EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(1), MaxLoadWait: 3 * time.Second}
 	for name, tc := range map[string]struct {
 		foreign bool // managed by another host
 		full    bool // all request slots are taken
-		want    want.Want
+		want    intent.Intent
 	}{
 		"for a load":                            {want: load},
 		"for a turn":                            {full: true, want: heldPrompt()},
@@ -70,8 +70,8 @@
 					fillSlots(t, e, l)
 				}
 				after, err := admitWhileDraining(t, e, l, tc.want)
-				if !errors.Is(err, want.ErrLeaves) || after > drainNotifyTimeout {
-					t.Errorf("admit = %v, %v after the drain began, want %v within %v", err, after, want.ErrLeaves, drainNotifyTimeout)
+				if !errors.Is(err, intent.ErrDraining) || after > drainNotifyTimeout {
+					t.Errorf("admit = %v, %v after the drain began, want %v within %v", err, after, intent.ErrDraining, drainNotifyTimeout)
 				}
 			})
 		})
@@ -86,8 +86,8 @@
 		e.draining.Store(true)
 		begun := time.Now()
 		err := l.Admit(t.Context(), heldPrompt())
-		if got := time.Since(begun); !errors.Is(err, want.ErrLeaves) || got > time.Millisecond {
-			t.Errorf("turn at a draining engine = %v after %v, want %v at once", err, got, want.ErrLeaves)
+		if got := time.Since(begun); !errors.Is(err, intent.ErrDraining) || got > time.Millisecond {
+			t.Errorf("turn at a draining engine = %v after %v, want %v at once", err, got, intent.ErrDraining)
 		}
 	})
 }
--- a/internal/loader/driver.go
+++ b/internal/loader/driver.go
@@ -9,11 +9,11 @@
 	"github.com/ansel1/merry/v2"
 	"go.uber.org/zap"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/memo"
 	"damaskreach/internal/model"
 	"damaskreach/internal/pool"
 	"damaskreach/internal/target"
-	"damaskreach/internal/want"
 )
 
 const (
@@ -110,7 +110,7 @@
 	d.unloading = map[string]bool{}
 	d.cachedAt = map[string]time.Time{}
 	d.memoFetched = false
-	d.failPending(merry.Prepend(want.ErrFailed, "the engine restarted"))
+	d.failPending(merry.Prepend(intent.ErrLoadFailed, "the engine restarted"))
 }
 
 // failPending fails all loads in progress.
@@ -147,7 +147,7 @@
 }
 
 // holds reports whether the engine serves the wanted adapter version, as far as this host knows.
-func (d *driver) holds(w want.Want) bool {
+func (d *driver) holds(w intent.Intent) bool {
 	if w.Adapter == "" {
 		return true
 	}
@@ -191,14 +191,14 @@
 func (d *driver) step() time.Duration {
 	t, ok := d.loader.View().Targets[d.id]
 	if !ok || d.loader.isDraining(t) {
-		d.refuseAll(want.ErrLeaves)
+		d.refuseAll(intent.ErrDraining)
 		return idleInterval
 	}
 	d.prompts.setSlots(d.pool(t).Slots)
-	if t.Born > d.born {
+	if t.Incarnation > d.born {
 		d.prompts.resetEventInterval()
 		d.reset()
-		d.born = t.Born
+		d.born = t.Incarnation
 	}
 	if !d.known && !d.syncState(t) {
 		d.expireQueue()
@@ -257,7 +257,7 @@
 		d.loader.Log.Info("load given up", zap.String("target", d.id), zap.String("adapter", w.Adapter), zap.Bool("known", d.known),
 			zap.Int("held", len(d.held)), zap.Int("pending", len(d.pending)), zap.Int("leaving", len(d.unloading)),
 			zap.Int("queue", len(d.loadQueue)), zap.Duration("idle", idleTime), zap.Duration("cold", d.coldLoadTime))
-		w.done <- merry.Prepend(want.ErrFailed, "the engine cannot load now")
+		w.done <- merry.Prepend(intent.ErrLoadFailed, "the engine cannot load now")
 	}
 	d.loadQueue = kept
 }
--- a/internal/loader/engine_test.go
+++ b/internal/loader/engine_test.go
@@ -15,6 +15,7 @@
 	"damaskreach/internal/change"
 	"damaskreach/internal/effect"
 	"damaskreach/internal/flow"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/jitter"
 	"damaskreach/internal/loader"
 	"damaskreach/internal/memo"
@@ -27,7 +28,6 @@
 	"damaskreach/internal/target"
 	"damaskreach/internal/usage"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 )
 
 const (
@@ -105,7 +105,7 @@
 		pending[a] = max(1, e.newVersions[a])
 	}
 	e.reports = append(e.reports, state.State{
-		Born: 1, Sequence: e.sequence, Models: []string{"m"}, Adapters: maps.Clone(e.held), Pending: pending,
+		Incarnation: 1, Sequence: e.sequence, Models: []string{"m"}, Adapters: maps.Clone(e.held), Pending: pending,
 	})
 	e.reportTimes = append(e.reportTimes, time.Now())
 }
@@ -231,9 +231,9 @@
 func newLoader(e *engine) *loader.Loader {
 	v := view.View{
 		Rules: rules.Rules{Version: 1, Pools: map[string]pool.Pool{
-			"g": {Engine: true, Slots: e.slots, Places: e.places, Memory: 1000, Models: []model.Model{{Name: "m", Adapter: 1}}},
+			"g": {Engine: true, Slots: e.slots, MaxAdapters: e.places, MemoryMB: 1000, Models: []model.Model{{Name: "m", Adapter: 1}}},
 		}},
-		Targets: map[string]target.Target{"e": {ID: "e", Born: 1, Group: "g", Slots: 4, Models: []string{"m"}}},
+		Targets: map[string]target.Target{"e": {ID: "e", Incarnation: 1, Group: "g", Slots: 4, Models: []string{"m"}}},
 	}
 	return &loader.Loader{
 		SendOrder: e.sendOrder, FetchState: e.fetchState, Fence: func(string) (int64, bool) { return 1, true }, OwnedEngines: e.ownedIDs,
@@ -260,7 +260,7 @@
 func admit(t *testing.T, l *loader.Loader, adapter string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	return l.Admit(ctx, want.Want{ID: "e", Model: "m", Adapter: adapter})
+	return l.Admit(ctx, intent.Intent{EngineID: "e", Model: "m", Adapter: adapter})
 }
 
 func adapterName(i int) string { return fmt.Sprintf("m/a%d", i) }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -16,6 +16,7 @@
 	"damaskreach/internal/change"
 	"damaskreach/internal/effect"
 	"damaskreach/internal/flow"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/jitter"
 	"damaskreach/internal/memo"
 	"damaskreach/internal/ration"
@@ -23,9 +24,8 @@
 	"damaskreach/internal/stats"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/target"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/internal/view"
-	"damaskreach/internal/want"
 )
 
 const (
@@ -74,7 +74,7 @@
 
 // Run keeps a driver for each engine that this host owns until ctx ends.
 func (l *Loader) Run(ctx context.Context) {
-	for range turns.Now(ctx, reconcileInterval, nil) {
+	for range ticker.Repeat(ctx, reconcileInterval, nil) {
 		l.reconcile(ctx)
 	}
 }
@@ -114,7 +114,7 @@
 			q.cancel()
 			delete(l.queues, id)
 		} else if ok && l.isDraining(t) {
-			q.refuseAll(want.ErrLeaves)
+			q.refuseAll(intent.ErrDraining)
 		}
 	}
 }
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/loader"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/internal/usage"
-	"damaskreach/internal/want"
 )
 
 // On a full engine each load needs an unload first. If the loader does not count the unload as the engine does, the load behind
@@ -112,7 +112,7 @@
 
 // admitPrompt asks for an adapter and a turn, as a host does that then sends the request.
 func admitPrompt(t *testing.T, l *loader.Loader, adapter string) error {
-	return l.Admit(t.Context(), want.Want{ID: "e", Host: "h", Model: "m", Adapter: adapter, Cost: time.Millisecond})
+	return l.Admit(t.Context(), intent.Intent{EngineID: "e", Requester: "h", Model: "m", Adapter: adapter, PromptCost: time.Millisecond})
 }
 
 // An extra copy of a busy adapter, which no request waits for, comes to a full engine. If it evicts an adapter in use, the next
@@ -126,10 +126,10 @@
 				t.Fatalf("load %d: %v, want none", i, err)
 			}
 		}
-		spread := want.Want{ID: "e", Model: "m", Adapter: adapterName(9), Spread: true}
+		spread := intent.Intent{EngineID: "e", Model: "m", Adapter: adapterName(9), Background: true}
 		time.Sleep(2 * time.Second)
-		if err := l.Admit(t.Context(), spread); !errors.Is(err, want.ErrBusy) {
-			t.Errorf("spread 2 s after the last use: %v, want %v", err, want.ErrBusy)
+		if err := l.Admit(t.Context(), spread); !errors.Is(err, intent.ErrLoadQueueFull) {
+			t.Errorf("spread 2 s after the last use: %v, want %v", err, intent.ErrLoadQueueFull)
 		}
 		time.Sleep(10 * time.Second)
 		if err := l.Admit(t.Context(), spread); err != nil {
@@ -151,7 +151,7 @@
 		e.activeAdapters[adapterName(0)] = true
 		ctx, stop := context.WithCancel(t.Context())
 		go func() {
-			for range turns.Every(ctx, e.usageInterval) {
+			for range ticker.Every(ctx, e.usageInterval) {
 				l.RecordUsage([]usage.Usage{{Host: "h", Engine: "e", Running: 1, Adapters: []string{adapterName(0)}}}, time.Now())
 			}
 		}()
@@ -210,7 +210,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		orders := e.orders
-		if err := l.Admit(ctx, want.Want{ID: "e", Host: "g", Model: "m", Adapter: adapterName(1), Cost: time.Millisecond}); err == nil {
+		if err := l.Admit(ctx, intent.Intent{EngineID: "e", Requester: "g", Model: "m", Adapter: adapterName(1), PromptCost: time.Millisecond}); err == nil {
 			t.Error("the load was served, want it to wait")
 		}
 		if got, want := e.orders, orders; got != want {
@@ -226,8 +226,8 @@
 		l := startReady(t, e)
 		e.draining.Store(true)
 		before := e.orders
-		if err := admit(t, l, adapterName(0)); !errors.Is(err, want.ErrLeaves) {
-			t.Errorf("load = %v, want %v", err, want.ErrLeaves)
+		if err := admit(t, l, adapterName(0)); !errors.Is(err, intent.ErrDraining) {
+			t.Errorf("load = %v, want %v", err, intent.ErrDraining)
 		}
 		if got := e.orders; got != before {
 			t.Errorf("%d orders to a draining engine, want none", got-before)
--- a/internal/loader/loads.go
+++ b/internal/loader/loads.go
@@ -7,8 +7,8 @@
 
 	"damaskreach/internal/change"
 	"damaskreach/internal/effect"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/target"
-	"damaskreach/internal/want"
 )
 
 // pollLoads checks loads that should be complete by now. It repeats their orders, which costs the engine a hundredth of a
@@ -20,7 +20,7 @@
 			continue
 		}
 		if now.Sub(l.startedAt) > loadTimeout {
-			d.failLoad(adapter, l, merry.Prepend(want.ErrFailed, "the load timed out"))
+			d.failLoad(adapter, l, merry.Prepend(intent.ErrLoadFailed, "the load timed out"))
 			d.known = false
 			continue
 		}
@@ -70,15 +70,15 @@
 	}
 	m, ok := d.pool(t).Model(w.Model)
 	if !ok {
-		w.done <- merry.Prependf(want.ErrFailed, "the configuration has no model %q", w.Model)
+		w.done <- merry.Prependf(intent.ErrLoadFailed, "the configuration has no model %q", w.Model)
 		return true
 	}
 	now := time.Now()
-	victim, idleTime := d.chooseVictim(w.Adapter, d.pool(t).Room(m))
-	if w.Spread && (idleTime < spreadIdleTime || !d.isCached(w.Adapter) && !d.loader.Flow.Spare(now)) {
+	victim, idleTime := d.chooseVictim(w.Adapter, d.pool(t).AdapterCapacity(m))
+	if w.Background && (idleTime < spreadIdleTime || !d.isCached(w.Adapter) && !d.loader.Flow.Spare(now)) {
 		// No request waits for it. With all adapter slots in use, one more copy of a busy adapter would evict the only copy of
 		// another, and while loads queue up it would delay a request.
-		w.done <- want.ErrBusy
+		w.done <- intent.ErrLoadQueueFull
 		return true
 	}
 	if idleTime < d.minEvictIdle(now) {
@@ -88,7 +88,7 @@
 	end, ok := func(time.Time, bool) {}, true
 	if !d.isCached(w.Adapter) {
 		// Only adapters that are not cached come from the weight store.
-		end, ok = d.loader.Flow.Begin(d.id, w.queuedAt.Add(w.Patience-d.coldLoadTime), time.Now())
+		end, ok = d.loader.Flow.Begin(d.id, w.queuedAt.Add(w.TimeLeft-d.coldLoadTime), time.Now())
 	}
 	if !ok {
 		*w.blockedBy = "flow"
--- a/internal/loader/memo.go
+++ b/internal/loader/memo.go
@@ -18,11 +18,11 @@
 	ctx, cancel := context.WithTimeout(d.ctx, memoTimeout)
 	defer cancel()
 	m, ok := d.loader.FetchMemo(ctx, d.id)
-	if !ok || m.Born != d.born {
+	if !ok || m.Incarnation != d.born {
 		return
 	}
-	d.loader.Log.Info("use of adapters recalled", zap.String("target", d.id), zap.Int("adapters", len(m.Names)), zap.Duration("event", m.Event))
-	d.prompts.restoreEventInterval(m.Event)
+	d.loader.Log.Info("use of adapters recalled", zap.String("target", d.id), zap.Int("adapters", len(m.Names)), zap.Duration("event", m.EventInterval))
+	d.prompts.restoreEventInterval(m.EventInterval)
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +66,7 @@
 			last[a] = used
 		}
 	}
-	m := memo.NewMemo(d.born, last).WithEvent(d.eventInterval)
+	m := memo.NewMemo(d.born, last).WithEventInterval(d.eventInterval)
 	d.memo.Store(&m)
 	if len(d.cachedAt) >= maxCached {
 		d.trimCached(m)
@@ -85,7 +85,7 @@
 
 // cachedNames returns the adapters that the engine has cached, as of the last memo.
 func (d *driver) cachedNames() []string {
-	if m := d.memo.Load(); m != nil && m.Born == d.born {
+	if m := d.memo.Load(); m != nil && m.Incarnation == d.born {
 		return m.Names
 	}
 	return nil
--- a/internal/loader/memo_test.go
+++ b/internal/loader/memo_test.go
@@ -58,7 +58,7 @@
 		const places = 6
 		e := newFullEngine(places)
 		e.reportTimes[len(e.reportTimes)-1] = time.Now().Add(-time.Minute)
-		e.memo = &memo.Memo{Born: 1, Names: []string{adapterName(3), adapterName(0), adapterName(5), adapterName(2), adapterName(4), adapterName(1)}}
+		e.memo = &memo.Memo{Incarnation: 1, Names: []string{adapterName(3), adapterName(0), adapterName(5), adapterName(2), adapterName(4), adapterName(1)}}
 		l := startLoader(t, e)
 		for i, unused := range []int{1, 4, 2} {
 			if err := admit(t, l, adapterName(places+i)); err != nil {
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(6)
 		e.cached = map[string]bool{adapterName(1): true}
-		e.memo = &memo.Memo{Born: 1, Names: []string{adapterName(1)}}
+		e.memo = &memo.Memo{Incarnation: 1, Names: []string{adapterName(1)}}
 		l := startLoader(t, e)
 		begun := time.Now()
 		if err := admit(t, l, adapterName(1)); err != nil {
@@ -93,7 +93,7 @@
 func TestTakeoverIgnoresMemoOfAnEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(6)
-		e.memo = &memo.Memo{Born: 0, Names: []string{adapterName(1)}}
+		e.memo = &memo.Memo{Incarnation: 0, Names: []string{adapterName(1)}}
 		l := startLoader(t, e)
 		if err := admit(t, l, adapterName(2)); err != nil {
 			t.Fatalf("load: %v, want none", err)
--- a/internal/loader/prompts.go
+++ b/internal/loader/prompts.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"damaskreach/internal/fair"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/jitter"
 	"damaskreach/internal/pace"
 	"damaskreach/internal/ration"
 	"damaskreach/internal/spent"
 	"damaskreach/internal/tempo"
-	"damaskreach/internal/want"
 )
 
 // slotWait is the assumed wait for one request slot when all are taken, used to compare engines.
@@ -54,7 +54,7 @@
 	for {
 		select {
 		case <-q.ctx.Done():
-			q.refuseAll(want.ErrElsewhere)
+			q.refuseAll(intent.ErrNotOwner)
 			return
 		case <-timer.C:
 		case <-q.wake:
@@ -65,7 +65,7 @@
 
 // add queues a waiter whose adapter is loaded; one without a prompt to send is done at once.
 func (q *promptQueue) add(w waiter) {
-	if w.Cost == 0 {
+	if w.PromptCost == 0 {
 		w.done <- nil
 		return
 	}
@@ -99,19 +99,19 @@
 	ahead := max(limit, q.pace.Backlog(now))
 	free := q.freeSlots()
 	for _, w := range q.waiting {
-		wait := max(limit, q.pace.Wait(now, w.Cost, q.allowedDelay(w), w.Tail))
+		wait := max(limit, q.pace.Wait(now, w.PromptCost, q.allowedDelay(w), w.PauseTail))
 		switch {
-		case w.Bound > 0 && (free <= 0 || max(wait, ahead) > w.Bound):
-			w.done <- want.NewCrowded(max(wait, ahead) + expectedSlotWait(free))
+		case w.MaxPromptWait > 0 && (free <= 0 || max(wait, ahead) > w.MaxPromptWait):
+			w.done <- intent.NewPromptQueueFull(max(wait, ahead) + expectedSlotWait(free))
 		case w.exceedsLimit(now, ahead):
-			w.done <- want.ErrBusy
+			w.done <- intent.ErrLoadQueueFull
 		default:
 			next = min(next, max(wait, time.Millisecond))
 			if free <= 0 {
 				next = min(next, pollInterval)
 			}
 			kept = append(kept, w)
-			ahead += max(gap, q.pace.Takes(w.Cost))
+			ahead += max(gap, q.pace.Takes(w.PromptCost))
 		}
 	}
 	q.waiting = kept
@@ -125,7 +125,7 @@
 	}
 	index := q.nextIndex(now)
 	w := q.waiting[index]
-	if limit, _ := q.ration.Wait(q.id); limit > 0 || q.pace.Wait(now, w.Cost, q.allowedDelay(w), w.Tail) > 0 {
+	if limit, _ := q.ration.Wait(q.id); limit > 0 || q.pace.Wait(now, w.PromptCost, q.allowedDelay(w), w.PauseTail) > 0 {
 		return false
 	}
 	q.waiting = slices.Delete(q.waiting, index, index+1)
@@ -158,15 +158,15 @@
 
 func (q *promptQueue) grant(w waiter, now time.Time) {
 	q.ration.Take(q.id)
-	q.pace.Send(now, w.Cost, w.Tail)
-	q.teamShares.Give(w.Team, w.Cost, w.Weight)
+	q.pace.Send(now, w.PromptCost, w.PauseTail)
+	q.teamShares.Give(w.Team, w.PromptCost, w.TeamWeight)
 	if w.Turn != 0 {
-		q.pace.Expect(w.Turn, now, w.Cost, w.Tail)
+		q.pace.Expect(w.Turn, now, w.PromptCost, w.PauseTail)
 	}
-	s := q.usageByHost[w.Host]
+	s := q.usageByHost[w.Requester]
 	if s == nil {
 		s = &hostUsage{countedAt: now}
-		q.usageByHost[w.Host] = s
+		q.usageByHost[w.Requester] = s
 	}
 	s.grants = append(s.grants, grant{now, w.Adapter})
 	w.done <- nil
@@ -186,7 +186,7 @@
 
 // allowedDelay returns how long reading prompts may delay streams, given the delay that w allows.
 func (q *promptQueue) allowedDelay(w waiter) time.Duration {
-	return time.Duration(q.jitter.Room() * float64(w.Room))
+	return time.Duration(q.jitter.Room() * float64(w.StallBudget))
 }
 
 // expectedWait returns the expected wait of a new prompt.
@@ -196,7 +196,7 @@
 	limit, gap := q.ration.Wait(q.id)
 	sum := max(limit, q.pace.Backlog(time.Now()))
 	for _, w := range q.waiting {
-		sum += max(gap, q.pace.Takes(w.Cost))
+		sum += max(gap, q.pace.Takes(w.PromptCost))
 	}
 	free := q.freeSlots()
 	if free <= 0 {
--- a/internal/loader/prompts_test.go
+++ b/internal/loader/prompts_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/loader"
 	"damaskreach/internal/usage"
-	"damaskreach/internal/want"
 )
 
 // turnResult is the outcome of one request for a turn.
@@ -36,9 +36,9 @@
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		time.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
 		cost := min(280*time.Millisecond, time.Duration((0.3+r.ExpFloat64())*float64(54*time.Millisecond)))
-		w := want.Want{
-			ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
-			Patience: patience - cost, Limit: callerTimeout, Rank: r.IntN(2),
+		w := intent.Intent{
+			EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: cost, StallBudget: 230 * time.Millisecond, PauseTail: 30 * time.Millisecond,
+			TimeLeft: patience - cost, MaxLoadWait: callerTimeout, Priority: r.IntN(2),
 		}
 		group.Add(1)
 		go func() {
@@ -71,7 +71,7 @@
 					read += u.cost
 				case u.err == nil:
 					late += u.cost
-				case errors.Is(u.err, want.ErrBusy):
+				case errors.Is(u.err, intent.ErrLoadQueueFull):
 					refusedAfter = append(refusedAfter, u.waited)
 				}
 			}
@@ -157,11 +157,11 @@
 		e.ownedElsewhere, e.slots = true, 4
 		l := startLoader(t, e)
 		time.Sleep(time.Second)
-		w := want.Want{ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: time.Millisecond, Room: time.Second, Limit: callerTimeout, Bound: 10 * time.Millisecond}
-		if err := l.Admit(t.Context(), w); !errors.Is(err, want.ErrElsewhere) {
-			t.Errorf("a load at an engine of another host = %v, want %v", err, want.ErrElsewhere)
+		w := intent.Intent{EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: time.Millisecond, StallBudget: time.Second, MaxLoadWait: callerTimeout, MaxPromptWait: 10 * time.Millisecond}
+		if err := l.Admit(t.Context(), w); !errors.Is(err, intent.ErrNotOwner) {
+			t.Errorf("a load at an engine of another host = %v, want %v", err, intent.ErrNotOwner)
 		}
-		w.Held = true
+		w.Loaded = true
 		granted := 0
 		for range 10 {
 			time.Sleep(20 * time.Millisecond)
--- a/internal/loader/replace_test.go
+++ b/internal/loader/replace_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/loader"
-	"damaskreach/internal/turns"
-	"damaskreach/internal/want"
+	"damaskreach/internal/ticker"
 )
 
 // A new version replaces an adapter of a full engine while another adapter is requested. An engine that is ordered to load more
@@ -30,7 +30,9 @@
 		results := make(chan error, 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		go func() { results <- l.Admit(ctx, want.Want{ID: "e", Model: "m", Adapter: adapterName(0), Version: 2}) }()
+		go func() {
+			results <- l.Admit(ctx, intent.Intent{EngineID: "e", Model: "m", Adapter: adapterName(0), Version: 2})
+		}()
 		time.Sleep(loadTime / 5)
 		go func() { results <- admit(t, l, adapterName(4)) }()
 		for range 2 {
@@ -82,7 +84,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() {
-			for turns.Sleep(ctx, 50*time.Millisecond) {
+			for ticker.Sleep(ctx, 50*time.Millisecond) {
 				l.MarkUsed("e", []string{adapterName(0), adapterName(1)}, time.Now())
 			}
 		}()
@@ -103,7 +105,7 @@
 func admitVersion(t *testing.T, l *loader.Loader, adapter string, version int) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	return l.Admit(ctx, want.Want{ID: "e", Model: "m", Adapter: adapter, Version: version})
+	return l.Admit(ctx, intent.Intent{EngineID: "e", Model: "m", Adapter: adapter, Version: version})
 }
 
 // A host takes over an engine that is replacing an adapter. If the report counts that adapter twice, another one is evicted.
--- a/internal/loader/share_test.go
+++ b/internal/loader/share_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"damaskreach/internal/want"
+	"damaskreach/internal/intent"
 )
 
 // One team sends many times its usual load to an engine that reads 15 prompts a second. Teams below their share must be served
@@ -32,9 +32,9 @@
 			} else if n < 4 {
 				team = "smaller"
 			}
-			w := want.Want{
-				ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: cost, Room: 230 * time.Millisecond, Tail: 30 * time.Millisecond,
-				Patience: patience, Limit: callerTimeout, Team: team, Weight: 1,
+			w := intent.Intent{
+				EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: cost, StallBudget: 230 * time.Millisecond, PauseTail: 30 * time.Millisecond,
+				TimeLeft: patience, MaxLoadWait: callerTimeout, Team: team, TeamWeight: 1,
 			}
 			group.Go(func() {
 				begun := time.Now()
--- a/internal/loader/slots_test.go
+++ b/internal/loader/slots_test.go
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
+	"damaskreach/internal/intent"
 	"damaskreach/internal/usage"
-	"damaskreach/internal/want"
 )
 
 // An urgent request must not be refused as hopeless because of less urgent ones that arrived earlier, while all slots are taken.
@@ -16,9 +16,9 @@
 		e := newEngine(2)
 		e.slots = 1
 		l := startLoaded(t, e)
-		w := want.Want{
-			ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: 100 * time.Millisecond, Room: 230 * time.Millisecond,
-			Tail: 30 * time.Millisecond, Patience: patience, Limit: time.Second, Rank: 1,
+		w := intent.Intent{
+			EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: 100 * time.Millisecond, StallBudget: 230 * time.Millisecond,
+			PauseTail: 30 * time.Millisecond, TimeLeft: patience, MaxLoadWait: time.Second, Priority: 1,
 		}
 		if err := l.Admit(t.Context(), w); err != nil {
 			t.Fatalf("the only slot: %v, want a turn", err)
@@ -29,7 +29,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		urgent := w
-		urgent.Rank, urgent.Limit = 0, w.Limit/2
+		urgent.Priority, urgent.MaxLoadWait = 0, w.MaxLoadWait/2
 		got := make(chan error, 1)
 		go func() { got <- l.Admit(t.Context(), urgent) }()
 		time.Sleep(100 * time.Millisecond)
@@ -51,8 +51,8 @@
 		l := startLoaded(t, e)
 		l.RecordUsage([]usage.Usage{{Host: "h", Engine: "e"}}, time.Now())
 		time.Sleep(usageTTL - time.Millisecond)
-		w := want.Want{
-			ID: "e", Host: "h", Model: "m", Adapter: adapterName(0), Cost: time.Millisecond, Room: time.Second, Patience: patience, Limit: time.Second,
+		w := intent.Intent{
+			EngineID: "e", Requester: "h", Model: "m", Adapter: adapterName(0), PromptCost: time.Millisecond, StallBudget: time.Second, TimeLeft: patience, MaxLoadWait: time.Second,
 		}
 		if err := l.Admit(t.Context(), w); err != nil {
 			t.Fatalf("the only slot: %v, want a turn", err)
--- a/internal/loader/sync.go
+++ b/internal/loader/sync.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap"
 
 	"damaskreach/internal/change"
+	"damaskreach/internal/intent"
 	"damaskreach/internal/stats"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/target"
-	"damaskreach/internal/want"
 )
 
 // syncState fetches from the engine what it holds and reports whether it did.
@@ -28,11 +28,11 @@
 		d.loader.Log.Info("engine report failed", zap.String("target", d.id), zap.Error(err))
 		return false
 	}
-	if s.Born > 0 && s.Born < t.Born {
+	if s.Incarnation > 0 && s.Incarnation < t.Incarnation {
 		return false
 	}
-	if s.Born > d.born {
-		d.born = s.Born
+	if s.Incarnation > d.born {
+		d.born = s.Incarnation
 	}
 	d.sequence = s.Sequence
 	d.held = maps.Clone(s.Adapters)
@@ -65,7 +65,7 @@
 			continue
 		}
 		if _, ok := reported[a]; !ok {
-			d.failLoad(a, l, merry.Prepend(want.ErrFailed, "the engine no longer reports the load"))
+			d.failLoad(a, l, merry.Prepend(intent.ErrLoadFailed, "the engine no longer reports the load"))
 		}
 	}
 	for a, v := range reported {
@@ -121,7 +121,7 @@
 		delete(held, a)
 	}
 	d.serving.Store(&held)
-	d.loader.Publish(stock.Stock{ID: d.id, Born: d.born, Sequence: d.sequence, Adapters: held, Event: d.eventInterval, Recent: d.cachedNames()})
+	d.loader.Publish(stock.Stock{ID: d.id, Incarnation: d.born, Sequence: d.sequence, Adapters: held, EventInterval: d.eventInterval, Recent: d.cachedNames()})
 }
 
 // updateEventInterval updates the engine's speed and reports whether it has changed.
@@ -137,7 +137,7 @@
 
 // adoptVersions takes adapter versions from a registration as of the same order where this host does not know them.
 func (d *driver) adoptVersions(t target.Target) {
-	if t.Born != d.born || t.Sequence != d.sequence {
+	if t.Incarnation != d.born || t.Sequence != d.sequence {
 		return
 	}
 	changed := false
--- a/internal/loader/waiter.go
+++ b/internal/loader/waiter.go
@@ -8,12 +8,12 @@
 	"github.com/ansel1/merry/v2"
 
 	"damaskreach/internal/fair"
-	"damaskreach/internal/want"
+	"damaskreach/internal/intent"
 )
 
 // waiter is a request that waits for a load or a turn.
 type waiter struct {
-	want.Want
+	intent.Intent
 	done      chan error
 	canceled  <-chan struct{} // closed once the caller has left
 	queuedAt  time.Time
@@ -21,8 +21,8 @@
 }
 
 // newWaiter returns a waiter that is canceled once ctx ends.
-func newWaiter(ctx context.Context, w want.Want) waiter {
-	return waiter{Want: w, done: make(chan error, 1), canceled: ctx.Done(), queuedAt: time.Now(), blockedBy: new(string)}
+func newWaiter(ctx context.Context, w intent.Intent) waiter {
+	return waiter{Intent: w, done: make(chan error, 1), canceled: ctx.Done(), queuedAt: time.Now(), blockedBy: new(string)}
 }
 
 // wait returns the result of the driver or queue that w was given to; queueCtx ends with that driver or queue.
@@ -31,7 +31,7 @@
 	case err := <-w.done:
 		return err
 	case <-queueCtx.Done():
-		return merry.Wrap(want.ErrElsewhere)
+		return merry.Wrap(intent.ErrNotOwner)
 	case <-ctx.Done():
 		return merry.Prepend(ctx.Err(), "waiting for a load or a turn")
 	}
@@ -42,9 +42,9 @@
 // urgent go first, then teams below their share, then the earliest start; late requests keep the order of arrival.
 func (w waiter) compare(other waiter, shares *fair.Fair, now time.Time) int {
 	return cmp.Or(
-		trueFirst(w.Begun, other.Begun),
+		trueFirst(w.Streaming, other.Streaming),
 		trueFirst(!w.isLate(now), !other.isLate(now)),
-		cmp.Compare(w.Rank, other.Rank),
+		cmp.Compare(w.Priority, other.Priority),
 		cmp.Compare(shares.Ahead(w.Team), shares.Ahead(other.Team)),
 		w.startBy(now).Compare(other.startBy(now)),
 	)
@@ -66,17 +66,17 @@
 	if w.isLate(now) {
 		return w.queuedAt
 	}
-	return w.queuedAt.Add(w.Patience)
+	return w.queuedAt.Add(w.TimeLeft)
 }
 
 // isLate reports whether the answer can no longer be on time.
 func (w waiter) isLate(now time.Time) bool {
-	return now.Sub(w.queuedAt) > w.Patience
+	return now.Sub(w.queuedAt) > w.TimeLeft
 }
 
 // exceedsLimit reports whether a further wait would exceed what is of use to the caller.
 func (w waiter) exceedsLimit(now time.Time, wait time.Duration) bool {
-	return w.Limit > 0 && now.Sub(w.queuedAt)+wait > w.Limit
+	return w.MaxLoadWait > 0 && now.Sub(w.queuedAt)+wait > w.MaxLoadWait
 }
 
 // isCanceled reports whether the caller has left.
--- a/internal/mates/fleet_test.go
+++ b/internal/mates/fleet_test.go
@@ -12,11 +12,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.uber.org/zap"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/gossip"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/mates"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/usage"
 )
@@ -89,12 +89,12 @@
 		}
 		return all
 	}
-	h.Own = func() (busy.Busy, []usage.Usage, []string) {
+	h.Own = func() (status.Status, []usage.Usage, []string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		broke := h.broke
 		h.broke = nil
-		return busy.Busy{Loads: h.loads}, h.uses, broke
+		return status.Status{Requests: h.loads}, h.uses, broke
 	}
 	h.Hear = h.hear
 	h.Add = func(string, *gossip.Gossip) {}
--- a/internal/mates/live.go
+++ b/internal/mates/live.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/mate"
+	"damaskreach/internal/status"
 )
 
 // Live reports whether a host is alive.
@@ -21,13 +21,13 @@
 // Ordering reports whether a host is alive and may give orders.
 func (m *Mates) Ordering(ip string) bool {
 	b, live := m.Roster.Find(ip, time.Now())
-	return live && !b.Lapsed
+	return live && !b.LeaseLapsed
 }
 
 // Away reports whether a host says that the store does not answer it.
 func (m *Mates) Away(ip string) bool {
 	b, live := m.Roster.Find(ip, time.Now())
-	return live && b.Away
+	return live && b.StoreDown
 }
 
 // Serving returns the hosts, but for this one, that callers may be sent to. The map must not be changed.
@@ -51,7 +51,7 @@
 }
 
 // serve notes which hosts are alive, this one among them, and which others callers may be sent to.
-func (m *Mates) serve(hosts map[string]mate.Mate, alive map[string]busy.Busy) {
+func (m *Mates) serve(hosts map[string]mate.Mate, alive map[string]status.Status) {
 	serving, living := make(map[string]mate.Mate, len(hosts)), make(map[string]mate.Mate, len(hosts))
 	reaching := make(map[string]mate.Mate, len(hosts))
 	var ahead []mate.Mate
@@ -65,7 +65,7 @@
 			continue
 		}
 		serving[ip] = h
-		if !b.Cut {
+		if !b.Isolated {
 			reaching[ip] = h
 		}
 		if h.Before(m.Self) {
--- a/internal/mates/many_test.go
+++ b/internal/mates/many_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/mates"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 )
 
 // A host looks for those that it tells of itself several times a second.
@@ -46,7 +46,7 @@
 					ip := fmt.Sprintf("10.0.%d.%d", n/250, n%250)
 					all[ip] = mate.Mate{IP: ip, Centre: fmt.Sprint("dc-", n%3), Power: 0.2}
 					host := roster.NewRoster(ip, func(string) string { return "" })
-					host.Note(busy.Busy{}, nil, nil, now)
+					host.Note(status.Status{}, nil, nil, now)
 					relay.Hear(host.Ask(relayIP(r), false, now), now)
 				}
 				m.Roster.Hear(relay.Ask(m.Self.IP, true, now), now)
--- a/internal/mates/mates.go
+++ b/internal/mates/mates.go
@@ -10,11 +10,11 @@
 
 	"go.uber.org/zap"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/gossip"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/rhythm"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 	"damaskreach/internal/usage"
 )
 
@@ -27,7 +27,7 @@
 	Hosts  func() map[string]mate.Mate // see tenure.Hosts
 	Roster *roster.Roster
 	// Own returns what this host tells of itself.
-	Own func() (own busy.Busy, uses []usage.Usage, broke []string)
+	Own func() (own status.Status, uses []usage.Usage, broke []string)
 	// Add adds to a message what is not the roster's, and Hear takes it.
 	Add  func(to string, g *gossip.Gossip)
 	Hear func(g gossip.Gossip)
--- a/internal/mates/mates_test.go
+++ b/internal/mates/mates_test.go
@@ -11,13 +11,13 @@
 
 	"go.uber.org/zap"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/gossip"
 	"damaskreach/internal/marks"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/mates"
 	"damaskreach/internal/rhythm"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/usage"
 )
@@ -225,7 +225,7 @@
 		times := times([2]int{40, 4})
 		for i, h := range f.hosts {
 			engine := i + "/e"
-			h.Roster.Held(stock.Stock{ID: engine, Born: 1, Sequence: 1, Adapters: map[string]int{"a": 1}})
+			h.Roster.Held(stock.Stock{ID: engine, Incarnation: 1, Sequence: 1, Adapters: map[string]int{"a": 1}})
 		}
 		time.Sleep(times.Old() + times.Every())
 		for i, h := range f.hosts {
@@ -258,7 +258,7 @@
 		m := mates.NewMates(mate.Mate{IP: "10.0.0.1", Centre: "a"})
 		m.Roster = roster.NewRoster("10.0.0.1", func(string) string { return "" })
 		m.Hosts = func() map[string]mate.Mate { return map[string]mate.Mate{"10.0.0.2": {IP: "10.0.0.2", Centre: "a"}} }
-		m.Own = func() (busy.Busy, []usage.Usage, []string) { return busy.Busy{}, nil, nil }
+		m.Own = func() (status.Status, []usage.Usage, []string) { return status.Status{}, nil, nil }
 		m.Add = func(string, *gossip.Gossip) {}
 		m.Ask = func(context.Context, mate.Mate, gossip.Gossip) (gossip.Gossip, error) {
 			time.Sleep(held)
--- a/internal/mates/partners.go
+++ b/internal/mates/partners.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/mate"
 	"damaskreach/internal/rhythm"
+	"damaskreach/internal/status"
 )
 
 // Partners returns the hosts that this one tells and hears, and whether it speaks for others.
@@ -19,7 +19,7 @@
 // partners returns the hosts to tell now, and whether to tell them as a relay. Other relays that ask this one are left out, but where all are
 // to know something at once.
 func (m *Mates) partners(
-	hosts map[string]mate.Mate, living map[string]busy.Busy, now time.Time, all bool,
+	hosts map[string]mate.Mate, living map[string]status.Status, now time.Time, all bool,
 ) (relay bool, list []mate.Mate) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +73,7 @@
 
 // usable reports whether a host may be relied on as a relay: one that has answered, or that another one hears, or of which nobody
 // knows anything yet.
-func (m *Mates) usable(ip string, living map[string]busy.Busy, now time.Time) bool {
+func (m *Mates) usable(ip string, living map[string]status.Status, now time.Time) bool {
 	if _, live := living[ip]; live {
 		return true
 	}
--- a/internal/memo/fuzz_test.go
+++ b/internal/memo/fuzz_test.go
@@ -7,7 +7,7 @@
 	"damaskreach/internal/memo"
 )
 
-// Rows of the store may hold anything. Whatever it is, a host that reads it goes on, with no more names than are ever written.
+// Rows may hold anything. Decoding must not panic, nor return more names than are ever written.
 func FuzzDecode(f *testing.F) {
 	f.Add(memo.NewMemo(7, map[string]time.Time{"m/a": time.Unix(1, 0), "m/b": time.Unix(2, 0)}).Encode())
 	f.Add([]byte{0x81, 0xa1, 'n', 0xdd, 0xff, 0xff, 0xff, 0xff})
--- a/internal/memo/memo.go
+++ b/internal/memo/memo.go
@@ -1,8 +1,8 @@
-// Package memo holds what the host that orders an engine knows of its adapters' use and of its speed, as it outlives that host.
+// Package memo holds what an engine's owner knows of its speed and of the use of its adapters, kept in the store for the next owner.
 //
-// An engine tells what it holds, but not what was asked for last, nor which weights it still has at hand. A host that starts, or
-// takes the engine from another one, unloads busy adapters as soon as idle ones, and has loaded elsewhere what would be back within
-// a tenth of the time. One would notice adapters that come and go within seconds after each restart, while their requests are late.
+// An engine reports which adapters it holds, but not which were used last, nor which weights it still has cached. Without that, a host
+// that starts or takes over an engine would unload busy adapters as soon as idle ones, and load elsewhere what the engine could reload in
+// a tenth of the time: after each restart adapters would come and go within seconds while their requests are late.
 package memo
 
 import (
@@ -14,34 +14,34 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// most is how many adapters are kept of an engine, the newest: engines keep the weights of a hundred or so.
-const most = 100
+// maxNames is how many of an engine's adapters are kept, the most recent ones: engines cache the weights of about a hundred.
+const maxNames = 100
 
-// Memo is immutable.
+// Memo is an immutable record about one engine.
 type Memo struct {
-	Born  int64    `msgpack:"b"` // incarnation of the engine
-	Names []string `msgpack:"n"` // adapters that it holds or has at hand, the one used last first
-	// Event is usually between two events of a stream; 0 where it is unknown.
-	Event time.Duration `msgpack:"e,omitempty"`
+	Incarnation int64    `msgpack:"b"`
+	Names       []string `msgpack:"n"` // adapters that it holds or has cached, most recently used first
+	// EventInterval is the usual time between two events of a stream; 0 where it is unknown.
+	EventInterval time.Duration `msgpack:"e,omitempty"`
 }
 
-// NewMemo returns the memo of an engine whose adapters were used last at these times.
-func NewMemo(born int64, used map[string]time.Time) Memo {
+// NewMemo returns the memo of an engine, given when each of its adapters was last used.
+func NewMemo(incarnation int64, used map[string]time.Time) Memo {
 	names := make([]string, 0, len(used))
 	for name := range used {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(used[b].Compare(used[a]), cmp.Compare(a, b)) })
-	return Memo{Born: born, Names: names[:min(len(names), most)]}
+	return Memo{Incarnation: incarnation, Names: names[:min(len(names), maxNames)]}
 }
 
-// WithEvent returns the memo with what was measured between two events.
-func (m Memo) WithEvent(event time.Duration) Memo {
-	m.Event = event
+// WithEventInterval returns a copy with the usual time between two events of a stream.
+func (m Memo) WithEventInterval(event time.Duration) Memo {
+	m.EventInterval = event
 	return m
 }
 
-// Encode returns the memo as a row holds it.
+// Encode returns the value of the memo's row.
 func (m Memo) Encode() []byte {
 	data, err := msgpack.Marshal(m)
 	if err != nil {
@@ -50,12 +50,12 @@
 	return data
 }
 
-// Decode reads what Encode wrote.
+// Decode parses a value that Encode returned.
 func Decode(data []byte) (Memo, error) {
 	var m Memo
 	if err := msgpack.Unmarshal(data, &m); err != nil {
-		return Memo{}, merry.Prepend(err, "decoding what is known of an engine's adapters")
+		return Memo{}, merry.Prepend(err, "decoding the memo of an engine")
 	}
-	m.Names = m.Names[:min(len(m.Names), most)]
+	m.Names = m.Names[:min(len(m.Names), maxNames)]
 	return m, nil
 }
--- a/internal/memo/memo_test.go
+++ b/internal/memo/memo_test.go
@@ -9,7 +9,7 @@
 	"damaskreach/internal/memo"
 )
 
-func TestMemoKeepsTheNewestInOrder(t *testing.T) {
+func TestMemoKeepsMostRecentNames(t *testing.T) {
 	now := time.Unix(1000, 0)
 	used := map[string]time.Time{}
 	for i := range 300 {
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatalf("Decode = %v, want nil", err)
 	}
-	if got, want := m.Born, int64(7); got != want {
-		t.Errorf("Born = %d, want %d", got, want)
+	if got, want := m.Incarnation, int64(7); got != want {
+		t.Errorf("Incarnation = %d, want %d", got, want)
 	}
 	if got, want := len(m.Names), 100; got != want {
 		t.Fatalf("names = %d, want %d", got, want)
@@ -30,8 +30,8 @@
 	}
 }
 
-// A row was written by another version of the program, or is none of ours. The host must start as if there were none.
-func TestForeignRowIsAnError(t *testing.T) {
+// A row was written by another version of the program, or by another program. The host must start as if there were none.
+func TestForeignRowFailsToDecode(t *testing.T) {
 	for _, data := range [][]byte{nil, []byte("x"), {0x81, 0xa1, 'n', 0x05}} {
 		if _, err := memo.Decode(data); err == nil {
 			t.Errorf("Decode(%q) = nil, want an error", data)
--- a/internal/opctl/plan.go
+++ b/internal/opctl/plan.go
@@ -14,7 +14,7 @@
 	"damaskreach/internal/plan"
 	"damaskreach/internal/rows"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const retryPause = 500 * time.Millisecond
@@ -31,7 +31,7 @@
 		if err == nil {
 			err = merry.Errorf("the replica read is at revision %d, and %d was seen already", rev, floor)
 		}
-		if !turns.Sleep(ctx, retryPause) {
+		if !ticker.Sleep(ctx, retryPause) {
 			return nil, 0, merry.Prepend(err, "reading the configuration")
 		}
 	}
--- a/internal/opctl/weights.go
+++ b/internal/opctl/weights.go
@@ -14,7 +14,7 @@
 	"damaskreach/internal/rows"
 	"damaskreach/internal/stamp"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -122,7 +122,7 @@
 		if err == nil {
 			return now, nil
 		}
-		if errors.Is(err, table.ErrAbsent) || !turns.Sleep(ctx, retryPause) {
+		if errors.Is(err, table.ErrAbsent) || !ticker.Sleep(ctx, retryPause) {
 			return now, err
 		}
 	}
--- a/internal/owner/follow.go
+++ b/internal/owner/follow.go
@@ -11,13 +11,13 @@
 	"damaskreach/internal/rows"
 	"damaskreach/internal/sess"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // follow reads the tails of session and ownership rows until ctx ends.
 func (o *Owner) follow(ctx context.Context) {
 	var at tails
-	for range turns.Now(ctx, o.Poll, o.wake) {
+	for range ticker.Repeat(ctx, o.Poll, o.wake) {
 		if err := o.readTails(ctx, &at); err != nil {
 			o.Log.Warn("reading sessions and ownership rows failed", zap.Error(err))
 		}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -27,8 +27,8 @@
 	"damaskreach/internal/reason"
 	"damaskreach/internal/runner"
 	"damaskreach/internal/table"
+	"damaskreach/internal/ticker"
 	"damaskreach/internal/tune"
-	"damaskreach/internal/turns"
 )
 
 // Points at which a test may pause an owner.
@@ -113,7 +113,7 @@
 // Follow reads sessions and ownership rows and keeps this node's share of runners until ctx ends.
 func (o *Owner) Follow(ctx context.Context) {
 	go o.follow(ctx)
-	for range turns.Every(ctx, tick) {
+	for range ticker.Every(ctx, tick) {
 		if o.Loop.Do(ctx, o.tick) != nil {
 			return
 		}
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"damaskreach/internal/strm"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/internal/wire"
 	"damaskreach/pkg/refuse"
 	"damaskreach/pkg/verd"
@@ -54,7 +54,7 @@
 			return merry.Prependf(err, "accepting connections at %s", l.Addr())
 		}
 		m.log.Warn("accepting a connection failed", zap.Error(err))
-		turns.Sleep(m.ctx, pauseAccept)
+		ticker.Sleep(m.ctx, pauseAccept)
 	}
 }
 
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -12,7 +12,7 @@
 	"damaskreach/internal/bucket"
 	"damaskreach/internal/charge"
 	"damaskreach/internal/ruling"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // Run notices parts that this host gains until ctx ends: units come in from then on, and not from the first request on.
 func (q *Quotas) Run(ctx context.Context) {
-	for range turns.Now(ctx, checkEvery, nil) {
+	for range ticker.Repeat(ctx, checkEvery, nil) {
 		q.check()
 	}
 }
--- a/internal/rates/rates.go
+++ b/internal/rates/rates.go
@@ -1,10 +1,9 @@
-// Package rates holds what hosts have measured of engines, as it outlives them.
+// Package rates holds hosts' measurements of engines, which are kept in the store so that they outlast the hosts.
 //
-// A host that starts knows nothing of how fast engines read, and takes them for slower than they are so as not to hold streams
-// up. After all hosts have lost power at once, that is when their callers come back together: with a guess of twice the true
-// cost of a prompt, engines got less than half of the prompts that they could have read, and requests for adapters that were
-// resident all the time were refused or late. So each host keeps its measurements in its row in the store, which it writes
-// anyway, and starts from what it finds there.
+// A starting host does not know how fast engines read, and assumes less than the true speed so as not to stall streams. After all hosts
+// have lost power at once, all callers return together: with a guess of twice the true cost of a prompt, engines got less than half of the
+// prompts that they could have read, and requests for resident adapters were rejected or late. So each host writes its measurements to its
+// row in the store, which it renews anyway, and starts from those that it finds there.
 package rates
 
 import (
@@ -12,21 +11,21 @@
 	"time"
 )
 
-// Rates is immutable; zero means not measured.
+// Rates is immutable; a zero field was not measured.
 type Rates struct {
-	Token time.Duration `msgpack:"t,omitempty"` // to read one token of a prompt
-	Event time.Duration `msgpack:"e,omitempty"` // usual time between two events of a stream
+	TokenTime     time.Duration `msgpack:"t,omitempty"` // time to read one token of a prompt
+	EventInterval time.Duration `msgpack:"e,omitempty"` // usual time between two events of a stream
 }
 
-// Median returns the median of what several hosts have measured, each part by itself.
+// Median returns the median of several hosts' measurements, each field by itself.
 func Median(list []Rates) Rates {
 	return Rates{
-		Token: median(list, func(r Rates) time.Duration { return r.Token }),
-		Event: median(list, func(r Rates) time.Duration { return r.Event }),
+		TokenTime:     median(list, func(r Rates) time.Duration { return r.TokenTime }),
+		EventInterval: median(list, func(r Rates) time.Duration { return r.EventInterval }),
 	}
 }
 
-// median leaves out those that have not measured it.
+// median leaves out hosts that have not measured the field.
 func median(list []Rates, part func(Rates) time.Duration) time.Duration {
 	var known []time.Duration
 	for _, r := range list {
--- a/internal/rates/rates_test.go
+++ b/internal/rates/rates_test.go
@@ -7,13 +7,14 @@
 	"damaskreach/internal/rates"
 )
 
-// One host has just started and measured nothing, another one met a slow engine. What a new host starts from follows neither.
-func TestMedianFollowsNoSingleHost(t *testing.T) {
+// One host has measured nothing yet, another one met a slow engine: neither may determine the median.
+func TestMedianIgnoresOutliers(t *testing.T) {
 	got := rates.Median([]rates.Rates{
-		{Token: 26 * time.Microsecond, Event: 30 * time.Millisecond}, {}, {Token: 400 * time.Microsecond},
-		{Token: 27 * time.Microsecond, Event: 31 * time.Millisecond}, {Token: 25 * time.Microsecond, Event: 900 * time.Millisecond},
+		{TokenTime: 26 * time.Microsecond, EventInterval: 30 * time.Millisecond}, {}, {TokenTime: 400 * time.Microsecond},
+		{TokenTime: 27 * time.Microsecond, EventInterval: 31 * time.Millisecond},
+		{TokenTime: 25 * time.Microsecond, EventInterval: 900 * time.Millisecond},
 	})
-	if want := (rates.Rates{Token: 27 * time.Microsecond, Event: 31 * time.Millisecond}); got != want {
+	if want := (rates.Rates{TokenTime: 27 * time.Microsecond, EventInterval: 31 * time.Millisecond}); got != want {
 		t.Errorf("Median = %v, want %v", got, want)
 	}
 	if got, want := rates.Median(nil), (rates.Rates{}); got != want {
--- a/internal/reach/watch.go
+++ b/internal/reach/watch.go
@@ -11,12 +11,12 @@
 
 	"go.uber.org/zap"
 
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // Run looks for whether upstreams are reached until ctx ends.
 func (r *Reach) Run(ctx context.Context) {
-	for range turns.Every(ctx, lookEvery) {
+	for range ticker.Every(ctx, lookEvery) {
 		r.look(ctx)
 	}
 }
--- a/internal/roster/hear.go
+++ b/internal/roster/hear.go
@@ -56,20 +56,20 @@
 	if whole {
 		for ip, b := range m.hosts {
 			r.changed[ip] = r.next()
-			r.spoke(ip, b.Beat, now)
+			r.spoke(ip, b.Version, now)
 		}
 		clear(m.hosts)
 		clear(m.heard)
 	}
 	m.at = now
 	for _, b := range g.Hosts {
-		if b.IP == r.self || m.hosts[b.IP].Beat > b.Beat {
+		if b.IP == r.self || m.hosts[b.IP].Version > b.Version {
 			continue
 		}
 		m.hosts[b.IP] = b
 		m.heard[b.IP] = now
 		r.changed[b.IP] = r.next()
-		r.spoke(b.IP, b.Beat, now)
+		r.spoke(b.IP, b.Version, now)
 	}
 }
 
--- a/internal/roster/look.go
+++ b/internal/roster/look.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"damaskreach/internal/busy"
+	"damaskreach/internal/status"
 )
 
 // Look finds hosts that fell silent or are heard again since the last look, and forgets those that are long gone. Silent is how long a host
@@ -114,18 +114,18 @@
 }
 
 // Find returns the newest that is known of a host; ok is false where it is not alive.
-func (r *Roster) Find(ip string, now time.Time) (b busy.Busy, ok bool) {
+func (r *Roster) Find(ip string, now time.Time) (b status.Status, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return find(r.counting(now), ip)
 }
 
 // Living returns the newest that is known of each host that is alive.
-func (r *Roster) Living(now time.Time) map[string]busy.Busy {
+func (r *Roster) Living(now time.Time) map[string]status.Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counting := r.counting(now)
-	living := make(map[string]busy.Busy, len(r.changed))
+	living := make(map[string]status.Status, len(r.changed))
 	for ip := range r.changed {
 		if b, ok := find(counting, ip); ok {
 			living[ip] = b
--- a/internal/roster/many_test.go
+++ b/internal/roster/many_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 	"damaskreach/internal/usage"
 )
 
@@ -21,14 +21,14 @@
 				owners[fmt.Sprint("e", n)] = name(n)
 			}
 			relay := roster.NewRoster("relay", func(engine string) string { return owners[engine] })
-			relay.Note(busy.Busy{}, nil, nil, start)
+			relay.Note(status.Status{}, nil, nil, start)
 			for h := range hosts {
 				one := roster.NewRoster(name(h), hostOf)
 				var uses []usage.Usage
 				for n := range used {
 					uses = append(uses, usage.Usage{Host: name(h), Engine: fmt.Sprint("e", (h*7+n*31)%engines), Running: 1})
 				}
-				one.Note(busy.Busy{}, uses, nil, start)
+				one.Note(status.Status{}, uses, nil, start)
 				relay.Hear(one.Ask("relay", false, start), start)
 			}
 			member := roster.NewRoster(name(0), hostOf)
@@ -48,13 +48,13 @@
 func wide(hosts int) *roster.Roster {
 	const relays = 6
 	relay := roster.NewRoster("relay0", hostOf)
-	relay.Note(busy.Busy{}, nil, nil, start)
+	relay.Note(status.Status{}, nil, nil, start)
 	for r := range relays {
 		other := roster.NewRoster(fmt.Sprint("relay", r), hostOf)
-		other.Note(busy.Busy{}, nil, nil, start)
+		other.Note(status.Status{}, nil, nil, start)
 		for h := r; h < hosts; h += relays {
 			one := roster.NewRoster(fmt.Sprint("h", h), hostOf)
-			one.Note(busy.Busy{Loads: map[string]int{fmt.Sprint("e", h): 3}}, nil, nil, start)
+			one.Note(status.Status{Requests: map[string]int{fmt.Sprint("e", h): 3}}, nil, nil, start)
 			heard := other
 			if r == 0 {
 				heard = relay
--- a/internal/roster/own.go
+++ b/internal/roster/own.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damaskreach/internal/busy"
+	"damaskreach/internal/status"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/usage"
 )
@@ -12,14 +12,14 @@
 const repeat = time.Second
 
 // Note takes what this host tells of itself, and what its requests use.
-func (r *Roster) Note(own busy.Busy, uses []usage.Usage, broke []string, now time.Time) {
+func (r *Roster) Note(own status.Status, uses []usage.Usage, broke []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own.IP = r.self
 	old := r.own
-	stale := len(own.Loads)+len(own.Waits) > 0 && now.UnixMilli()-old.Beat >= repeat.Milliseconds()
-	if old.Beat == 0 || stale || !own.Same(old) {
-		own.Beat = max(now.UnixMilli(), old.Beat+1)
+	stale := len(own.Requests)+len(own.PromptWaits) > 0 && now.UnixMilli()-old.Version >= repeat.Milliseconds()
+	if old.Version == 0 || stale || !own.SameContent(old) {
+		own.Version = max(now.UnixMilli(), old.Version+1)
 		r.own = own
 		r.put(r.self, own, now)
 	}
@@ -38,15 +38,15 @@
 }
 
 // put records what is known of a host of this host's own realm.
-func (r *Roster) put(ip string, b busy.Busy, now time.Time) {
+func (r *Roster) put(ip string, b status.Status, now time.Time) {
 	mine := r.realms[r.self]
 	r.hears(ip, now)
-	if old, ok := mine.hosts[ip]; ok && old.Beat >= b.Beat {
+	if old, ok := mine.hosts[ip]; ok && old.Version >= b.Version {
 		return
 	}
 	mine.hosts[ip] = b
 	r.changed[ip] = r.next()
-	r.spoke(ip, b.Beat, now)
+	r.spoke(ip, b.Version, now)
 }
 
 // hears records that a host of this host's own realm was heard.
@@ -61,7 +61,7 @@
 
 func (r *Roster) addHeld(s stock.Stock, own bool) {
 	old, ok := r.held[s.ID]
-	if ok && (old.Born > s.Born || old.Born == s.Born && old.Sequence > s.Sequence) {
+	if ok && (old.Incarnation > s.Incarnation || old.Incarnation == s.Incarnation && old.Sequence > s.Sequence) {
 		return
 	}
 	r.held[s.ID] = stocked{Stock: s, number: r.next(), own: own}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"damaskreach/internal/busy"
+	"damaskreach/internal/status"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/usage"
 )
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	number  int64 // of the newest change
 	silent  time.Duration
-	own     busy.Busy
+	own     status.Status
 	realms  map[string]*realm // by the host that speaks for them; this host's own under its IP
 	changed map[string]int64  // number of the newest change of each host
 	alive   map[string]bool   // as of the last look
@@ -62,7 +62,7 @@
 // realm is the hosts that one host speaks for.
 type realm struct {
 	at    time.Time // when it was last heard
-	hosts map[string]busy.Busy
+	hosts map[string]status.Status
 	heard map[string]time.Time // when each was last heard; in another realm when anything was told of it
 	gone  map[string]bool      // in this host's own realm: those that were not heard for too long
 }
@@ -110,7 +110,7 @@
 // NewRoster returns the roster of a host that knows of no other. Owner returns the host that gives an engine its orders.
 func NewRoster(self string, owner func(engine string) string) *Roster {
 	return &Roster{
-		owner: owner, self: self, start: rand.Text(), silent: time.Second, own: busy.Busy{IP: self},
+		owner: owner, self: self, start: rand.Text(), silent: time.Second, own: status.Status{IP: self},
 		realms:  map[string]*realm{self: newRealm()},
 		changed: map[string]int64{}, alive: map[string]bool{}, words: map[string]word{}, held: map[string]stocked{}, uses: map[string]using{},
 		peers: map[string]*peer{},
@@ -118,7 +118,7 @@
 }
 
 func newRealm() *realm {
-	return &realm{hosts: map[string]busy.Busy{}, heard: map[string]time.Time{}, gone: map[string]bool{}}
+	return &realm{hosts: map[string]status.Status{}, heard: map[string]time.Time{}, gone: map[string]bool{}}
 }
 
 // next numbers a change. It needs the lock, as do all that follow.
@@ -159,10 +159,10 @@
 }
 
 // find returns the newest that some realms tell of a host, and whether it is alive.
-func find(among []*realm, ip string) (best busy.Busy, ok bool) {
+func find(among []*realm, ip string) (best status.Status, ok bool) {
 	for _, m := range among {
 		b, here := m.hosts[ip]
-		if !here || b.Gone || m.gone[ip] || ok && b.Beat <= best.Beat {
+		if !here || b.Gone || m.gone[ip] || ok && b.Version <= best.Version {
 			continue
 		}
 		best, ok = b, true
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/gossip"
 	"damaskreach/internal/roster"
+	"damaskreach/internal/status"
 	"damaskreach/internal/stock"
 	"damaskreach/internal/usage"
 )
@@ -22,7 +22,7 @@
 func host(ip string, now time.Time) *roster.Roster {
 	r := roster.NewRoster(ip, hostOf)
 	r.Look(silent, now)
-	r.Note(busy.Busy{}, nil, nil, now)
+	r.Note(status.Status{}, nil, nil, now)
 	return r
 }
 
@@ -50,7 +50,7 @@
 	now := start
 	member, relay := host("m", now), host("r", now)
 	speak(member, relay, "m", "r", false, now)
-	relay.Held(stock.Stock{ID: "r/1", Born: 1, Sequence: 3, Adapters: map[string]int{"a": 1}})
+	relay.Held(stock.Stock{ID: "r/1", Incarnation: 1, Sequence: 3, Adapters: map[string]int{"a": 1}})
 	q := member.Ask("r", false, now)
 	relay.Hear(q, now)
 	if lost := relay.Answer(q, now); len(lost.Held) != 1 {
@@ -73,7 +73,7 @@
 		speak(member, relay, "m", "r", false, now)
 		speak(other, relay, "o", "r", false, now)
 	}
-	member.Held(stock.Stock{ID: "m/1", Born: 1, Sequence: 1})
+	member.Held(stock.Stock{ID: "m/1", Incarnation: 1, Sequence: 1})
 	speak(member, relay, "m", "r", false, now)
 	wantLive(t, member, now, true, "o", "r")
 	relay = host("r", now)
@@ -166,7 +166,7 @@
 	now := start
 	member, relay := host("m", now), host("r", now)
 	old := member.Ask("r", false, now)
-	member.Note(busy.Busy{Leaving: true}, nil, nil, now.Add(time.Millisecond))
+	member.Note(status.Status{Leaving: true}, nil, nil, now.Add(time.Millisecond))
 	relay.Hear(member.Ask("r", false, now), now)
 	relay.Hear(old, now)
 	if b, ok := relay.Find("m", now); !ok || !b.Leaving {
@@ -183,7 +183,7 @@
 		speak(owner, far, "o", "f", false, now)
 		speak(near, far, "r", "f", true, now)
 	}
-	user.Note(busy.Busy{}, []usage.Usage{{Host: "u", Engine: "o/1", Running: 2}}, nil, now)
+	user.Note(status.Status{}, []usage.Usage{{Host: "u", Engine: "o/1", Running: 2}}, nil, now)
 	now = now.Add(100 * time.Millisecond)
 	speak(user, near, "u", "r", false, now)
 	now = now.Add(200 * time.Millisecond)
@@ -207,7 +207,7 @@
 		for n := range 200 {
 			broke = append(broke, fmt.Sprint(i, "-", n))
 		}
-		relay.Note(busy.Busy{}, nil, broke, now)
+		relay.Note(status.Status{}, nil, broke, now)
 	}
 	member := host("m", now)
 	_, answer := speak(member, relay, "m", "r", false, now)
@@ -252,11 +252,11 @@
 	owner := "m"
 	member := roster.NewRoster("m", func(string) string { return owner })
 	member.Look(silent, now)
-	member.Note(busy.Busy{}, nil, nil, now)
+	member.Note(status.Status{}, nil, nil, now)
 	relay := host("r", now)
 	speak(member, relay, "m", "r", false, now)
 	owner = ""
-	member.Held(stock.Stock{ID: "m/1", Born: 1, Sequence: 1})
+	member.Held(stock.Stock{ID: "m/1", Incarnation: 1, Sequence: 1})
 	if q, _ := speak(member, relay, "m", "r", false, now); len(q.Held) != 1 {
 		t.Errorf("told = %d engines, want 1", len(q.Held))
 	}
@@ -268,7 +268,7 @@
 	now, owner := start, "a"
 	relay, user := roster.NewRoster("r", func(string) string { return owner }), host("u", start)
 	relay.Look(silent, now)
-	user.Note(busy.Busy{}, []usage.Usage{{Host: "u", Engine: "e", Running: 1}}, nil, now)
+	user.Note(status.Status{}, []usage.Usage{{Host: "u", Engine: "e", Running: 1}}, nil, now)
 	speak(user, relay, "u", "r", false, now)
 	uses := func(ip string) int { return len(relay.Answer(host(ip, now).Ask("r", false, now), now).Uses) }
 	if got := uses("a"); got != 1 {
--- a/internal/roster/tell.go
+++ b/internal/roster/tell.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"damaskreach/internal/busy"
 	"damaskreach/internal/gossip"
+	"damaskreach/internal/status"
 	"damaskreach/internal/usage"
 )
 
@@ -24,7 +24,7 @@
 		return r.forRelay(to, now)
 	}
 	g := r.message(to, itself)
-	if r.own.Beat > 0 && r.changed[r.self] > g.After {
+	if r.own.Version > 0 && r.changed[r.self] > g.After {
 		g.Hosts = append(g.Hosts, r.own)
 	}
 	r.fillHeld(&g, func(s stocked) bool { return s.own })
@@ -59,7 +59,7 @@
 			continue
 		}
 		if mine.gone[ip] {
-			b = busy.Busy{IP: ip, Beat: b.Beat, Gone: true}
+			b = status.Status{IP: ip, Version: b.Version, Gone: true}
 		}
 		g.Hosts = append(g.Hosts, b)
 	}
@@ -91,7 +91,7 @@
 		}
 		b, live := find(counting, ip)
 		if !live {
-			b = busy.Busy{IP: ip, Beat: r.words[ip].beat, Gone: true}
+			b = status.Status{IP: ip, Version: r.words[ip].beat, Gone: true}
 		}
 		if live || g.After > 0 {
 			g.Hosts = append(g.Hosts, b)
--- a/internal/speed/speed.go
+++ b/internal/speed/speed.go
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.token == 0 {
-		return time.Duration(tokens) * cmp.Or(s.before().Token, firstToken)
+		return time.Duration(tokens) * cmp.Or(s.before().TokenTime, firstToken)
 	}
 	return time.Duration(tokens) * s.token
 }
@@ -147,7 +147,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.before()
-	return rates.Rates{Token: cmp.Or(s.token, before.Token), Event: cmp.Or(s.event, before.Event)}
+	return rates.Rates{TokenTime: cmp.Or(s.token, before.TokenTime), EventInterval: cmp.Or(s.event, before.EventInterval)}
 }
 
 func (s *Speed) before() rates.Rates {
@@ -162,5 +162,5 @@
 
 // startEvent returns the time between events from which the estimate starts.
 func (s *Speed) startEvent() time.Duration {
-	return cmp.Or(s.before().Event, firstEvent)
+	return cmp.Or(s.before().EventInterval, firstEvent)
 }
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -109,7 +109,7 @@
 // over hundreds of rows, and must not be found anew for each engine; yet what is known later must count soon.
 func TestWhatWasKnownIsNotFoundAnewForEachEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked, known := 0, rates.Rates{Token: 10 * time.Microsecond}
+		asked, known := 0, rates.Rates{TokenTime: 10 * time.Microsecond}
 		s := &speed.Speed{Before: func() rates.Rates {
 			asked++
 			return known
@@ -121,7 +121,7 @@
 		if most := 2; asked > most {
 			t.Errorf("asked %d times, want %d at most", asked, most)
 		}
-		known.Token = 20 * time.Microsecond
+		known.TokenTime = 20 * time.Microsecond
 		time.Sleep(150 * time.Millisecond)
 		if got, want := s.Cost(1000), 20*time.Millisecond; got != want {
 			t.Errorf("cost = %v once more is known, want %v", got, want)
--- a/internal/stand/rowdb/copy.go
+++ b/internal/stand/rowdb/copy.go
@@ -47,7 +47,7 @@
 
 // number returns the transaction that a caller's revision stands for; ok is false for one of another era, which this table doesn't have.
 func (d *DB) number(rev int64) (number int64, ok bool) {
-	if rev == 0 || rev == rows.Any {
+	if rev == 0 || rev == rows.AnyRev {
 		return rev, true
 	}
 	era, number := rows.Era(rev)
@@ -57,6 +57,6 @@
 // shown returns a row as callers see it, with a revision of this era.
 func (d *DB) shown(row rows.Row) rows.Row {
 	row = row.WithValue(slices.Clone(row.Value))
-	row.Rev = rows.At(d.era, row.Rev)
+	row.Rev = rows.NewRev(d.era, row.Rev)
 	return row
 }
--- a/internal/stand/rowdb/copy_test.go
+++ b/internal/stand/rowdb/copy_test.go
@@ -35,17 +35,17 @@
 		if !errors.Is(err, table.ErrCompacted) {
 			t.Errorf("Tail from a lost revision = %v, want ErrCompacted", err)
 		}
-		if want := rows.At(1, kept); rev != want {
+		if want := rows.NewRev(1, kept); rev != want {
 			t.Errorf("revision = %d, want %d", rev, want)
 		}
-		if len(found) != 2 || string(found[0].Value) != "old" || found[1].Key != "a/dropped" || found[0].Rev != rows.At(1, kept) {
-			t.Errorf("rows = %v, want a/changed with its old value and a/dropped, at %d", found, rows.At(1, kept))
+		if len(found) != 2 || string(found[0].Value) != "old" || found[1].Key != "a/dropped" || found[0].Rev != rows.NewRev(1, kept) {
+			t.Errorf("rows = %v, want a/changed with its old value and a/dropped, at %d", found, rows.NewRev(1, kept))
 		}
 		if _, err = tab.Write(t.Context(), rows.Row{Key: "a/changed", Rev: kept}); !errors.Is(err, table.ErrConflict) {
 			t.Errorf("Write with a revision of the era before = %v, want ErrConflict", err)
 		}
-		again := write(rows.Row{Key: "a/changed", Rev: rows.At(1, kept)})
-		if want := rows.At(1, lost); again != want {
+		again := write(rows.Row{Key: "a/changed", Rev: rows.NewRev(1, kept)})
+		if want := rows.NewRev(1, lost); again != want {
 			t.Errorf("revision of the next write = %d, want %d: the lost number again", again, want)
 		}
 		if _, _, err = tab.Tail(t.Context(), "a/", rev); err != nil {
--- a/internal/stand/rowdb/db.go
+++ b/internal/stand/rowdb/db.go
@@ -73,7 +73,7 @@
 func (d *DB) Rev() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return rows.At(d.era, d.rev)
+	return rows.NewRev(d.era, d.rev)
 }
 
 func (d *DB) record(key string) *record {
--- a/internal/stand/rowdb/db_test.go
+++ b/internal/stand/rowdb/db_test.go
@@ -70,12 +70,12 @@
 	tab := rowdb.NewDB().Table()
 	mustWrite(t, tab, row("a/hint", "x", 0), row("a/row", "x", 0))
 	mustWrite(t, tab, row("a/hint", "y", 1))
-	mustWrite(t, tab, row("a/hint", "z", rows.Any), row("a/row", "y", 1))
-	_, err := tab.Write(t.Context(), row("a/hint", "w", rows.Any), row("a/row", "z", 1))
+	mustWrite(t, tab, row("a/hint", "z", rows.AnyRev), row("a/row", "y", 1))
+	_, err := tab.Write(t.Context(), row("a/hint", "w", rows.AnyRev), row("a/row", "z", 1))
 	if !errors.Is(err, table.ErrConflict) || !slices.Equal(table.Conflicts(err), []string{"a/row"}) {
 		t.Errorf("Write = %v naming %q, want %v naming [a/row]", err, table.Conflicts(err), table.ErrConflict)
 	}
-	mustWrite(t, tab, rows.Row{Key: "a/none", Rev: rows.Any, Gone: true}, rows.Row{Key: "a/hint", Rev: rows.Any, Gone: true})
+	mustWrite(t, tab, rows.Row{Key: "a/none", Rev: rows.AnyRev, Gone: true}, rows.Row{Key: "a/hint", Rev: rows.AnyRev, Gone: true})
 	found, _, err := tab.List(t.Context(), "a/")
 	if got, want := show(found), "a/row=y@3"; got != want || err != nil {
 		t.Errorf("List = %q, %v, want %q, nil", got, err, want)
@@ -86,10 +86,10 @@
 func TestEditThatStaysTheSameIsOnlyExpected(t *testing.T) {
 	tab := rowdb.NewDB().Table()
 	mustWrite(t, tab, row("a/1", "x", 0), row("a/2", "x", 0))
-	if rev := mustWrite(t, tab, row("a/1", "y", 1), rows.Row{Key: "a/2", Rev: 1, Same: true}); rev != 2 {
+	if rev := mustWrite(t, tab, row("a/1", "y", 1), rows.Row{Key: "a/2", Rev: 1, CheckOnly: true}); rev != 2 {
 		t.Errorf("revision = %d, want 2", rev)
 	}
-	_, err := tab.Write(t.Context(), row("a/1", "z", 2), rows.Row{Key: "a/2", Rev: 2, Same: true})
+	_, err := tab.Write(t.Context(), row("a/1", "z", 2), rows.Row{Key: "a/2", Rev: 2, CheckOnly: true})
 	if !errors.Is(err, table.ErrConflict) || !slices.Equal(table.Conflicts(err), []string{"a/2"}) {
 		t.Errorf("Write = %v naming %q, want %v naming [a/2]", err, table.Conflicts(err), table.ErrConflict)
 	}
--- a/internal/stand/rowdb/read.go
+++ b/internal/stand/rowdb/read.go
@@ -51,7 +51,7 @@
 	found := d.scan(prefix, rev, func(r rows.Row) bool { return !r.Gone })
 	slices.SortFunc(found, func(a, b rows.Row) int { return strings.Compare(a.Key, b.Key) })
 	d.countRead(segment(prefix), found)
-	return listing{found, rows.At(d.era, rev)}, nil
+	return listing{found, rows.NewRev(d.era, rev)}, nil
 }
 
 // tail returns the present state of each row changed after a revision, oldest change first.
@@ -79,7 +79,7 @@
 		})
 	}
 	d.countRead(segment(prefix), found)
-	return listing{found, rows.At(d.era, rev)}, err
+	return listing{found, rows.NewRev(d.era, rev)}, err
 }
 
 // recent walks the log; it costs as much as there are changes, where scan costs as much as there are rows.
--- a/internal/stand/rowdb/write.go
+++ b/internal/stand/rowdb/write.go
@@ -28,9 +28,9 @@
 	if keys := d.conflicts(edits); len(keys) > 0 {
 		return 0, table.NewConflict(keys)
 	}
-	edits = slices.DeleteFunc(slices.Clone(edits), func(e rows.Row) bool { return e.Same || e.Gone && e.Rev == 0 })
+	edits = slices.DeleteFunc(slices.Clone(edits), func(e rows.Row) bool { return e.CheckOnly || e.Gone && e.Rev == 0 })
 	if len(edits) == 0 {
-		return rows.At(d.era, d.rev), nil
+		return rows.NewRev(d.era, d.rev), nil
 	}
 	d.rev++
 	now := time.Now()
@@ -39,7 +39,7 @@
 		d.apply(edit, now)
 	}
 	d.trim(now)
-	return rows.At(d.era, d.rev), nil
+	return rows.NewRev(d.era, d.rev), nil
 }
 
 func check(edits []rows.Row) error {
@@ -53,7 +53,7 @@
 			return merry.Append(table.ErrInvalid, "an edit has no key")
 		case seen[e.Key]:
 			return merry.Appendf(table.ErrInvalid, "key %q is edited twice", e.Key)
-		case e.Rev < 0 && e.Rev != rows.Any:
+		case e.Rev < 0 && e.Rev != rows.AnyRev:
 			return merry.Appendf(table.ErrInvalid, "key %q has the revision %d", e.Key, e.Rev)
 		case len(e.Value) > mostValue:
 			return merry.Appendf(table.ErrInvalid, "key %q has %d bytes, at most %d are taken", e.Key, len(e.Value), mostValue)
@@ -70,7 +70,7 @@
 		if rec := d.record(e.Key); rec != nil && !rec.now().Gone {
 			rev = rec.now().Rev
 		}
-		if want, ok := d.number(e.Rev); e.Rev != rows.Any && (!ok || rev != want) {
+		if want, ok := d.number(e.Rev); e.Rev != rows.AnyRev && (!ok || rev != want) {
 			keys = append(keys, e.Key)
 		}
 	}
--- a/internal/start/start.go
+++ b/internal/start/start.go
@@ -20,29 +20,29 @@
 	"damaskreach/internal/setup"
 	"damaskreach/internal/shell"
 	"damaskreach/internal/stats"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
-// Version of the program, shown by --version.
+// Version is the program's version, shown by --version.
 const Version = "0.2.0"
 
 const (
-	// reloadEvery is how often the settings file is compared: it may change without a signal.
-	reloadEvery = 2 * time.Second
-	// memoryShare is the part of the allowed memory at which the collector works harder.
-	memoryShare = 0.6
-	// flushFor is how long the last lines may take to be written: a queue of them takes some milliseconds where they are read.
-	flushFor = 300 * time.Millisecond
+	// reloadInterval is how often the settings file is checked for changes, which may come without a signal.
+	reloadInterval = 2 * time.Second
+	// memoryLimitShare is the part of the allowed memory that is set as Go's soft memory limit.
+	memoryLimitShare = 0.6
+	// flushTimeout bounds the writing of the last log lines: a full queue takes some milliseconds if the output is read.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// Start is the way from the command line to a running host.
+// Start runs a host from the command line.
 type Start struct {
-	// Path returns the settings file where the command line names none.
-	Path func() string
-	// Build returns a host whose parts speak the platform's protocols.
-	Build func(s setup.Setup) *edge.Edge
-	Out   io.Writer // for the log
-	Err   io.Writer
+	// DefaultPath returns the settings file where the command line names none.
+	DefaultPath func() string
+	// NewEdge returns a host with adapters for the platform's protocols.
+	NewEdge func(s setup.Setup) *edge.Edge
+	Out     io.Writer // for the log
+	Err     io.Writer
 }
 
 // Run runs the host with command-line arguments and returns the exit code.
@@ -52,33 +52,32 @@
 		About: "damaskedge runs one entry host on the users' platform.\n" +
 			"'damaskedge check FILE' checks a settings file and names the key of every fault.",
 		File:  "TOML file with the host's settings; in place of the one that the environment names",
-		Path:  s.Path,
-		Check: check,
+		Path:  s.DefaultPath,
+		Check: checkSettings,
 		Serve: s.run,
 		Out:   s.Out,
 		Err:   s.Err,
 	}.Run(args)
 }
 
-func check(path string) error {
+func checkSettings(path string) error {
 	_, err := setup.Load(path)
 	return err
 }
 
 func (s Start) run(path string) int {
 	hangups := make(chan os.Signal, 1)
-	// From before the settings are read until the process ends: what the system does with a hangup that nobody takes is to end it, with all
-	// requests under way.
+	// Notify before the settings are read and until the process ends: an unhandled SIGHUP would kill it, with all requests in flight.
 	signal.Notify(hangups, syscall.SIGHUP)
-	// A line that nobody reads any more would end the process too.
+	// Likewise, a write to a closed log pipe would kill the process.
 	signal.Ignore(syscall.SIGPIPE)
 	first, err := setup.Load(path)
 	if err != nil {
 		fmt.Fprintln(s.Err, err)
 		return shell.Usage
 	}
-	debug.SetMemoryLimit(int64(float64(first.Memory<<20) * memoryShare))
-	log := logger.NewLogger(s.Out, level(first.Level))
+	debug.SetMemoryLimit(int64(float64(first.Memory<<20) * memoryLimitShare))
+	log := logger.NewLogger(s.Out, parseLevel(first.Level))
 	ctx, stop := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	go func() {
@@ -87,14 +86,13 @@
 	}()
 	err = s.serve(path, first, hangups, log)
 	if err != nil {
-		log.Zap().Error("the host ended with a fault", zap.Error(err))
+		log.Zap().Error("host failed", zap.Error(err))
 	}
 	stop()
 	select {
 	case <-written:
-	case <-time.After(flushFor):
-		// Whoever reads the output has stopped. Waiting for it would keep the process from ending in time, and the platform from
-		// starting the next one.
+	case <-time.After(flushTimeout):
+		// The reader of the output has stopped. Waiting for it would delay the exit, and so the platform's start of the next process.
 	}
 	if err != nil {
 		return shell.Fault
@@ -102,8 +100,8 @@
 	return shell.OK
 }
 
-// level returns the level of a text that was checked.
-func level(text string) zapcore.Level {
+// parseLevel returns the log level of a text, which was checked when the settings were loaded.
+func parseLevel(text string) zapcore.Level {
 	l, err := zapcore.ParseLevel(text)
 	if err != nil {
 		return zapcore.InfoLevel
@@ -111,15 +109,15 @@
 	return l
 }
 
-// serve runs the host until it is told to stop.
+// serve runs the host until SIGTERM or SIGINT.
 func (s Start) serve(path string, first setup.Setup, hangups <-chan os.Signal, log *logger.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	var current atomic.Pointer[setup.Setup]
 	current.Store(&first)
 	lines := log.Zap().With(zap.String("node", first.Name))
-	go reload(ctx, hangups, path, &current, log, lines)
-	e := s.Build(first)
+	go reloadSettings(ctx, hangups, path, &current, log, lines)
+	e := s.NewEdge(first)
 	e.Setup = func() setup.Setup { return *current.Load() }
 	e.Log, e.RequestLog = lines, lines.Named(logger.Requests)
 	e.Stats = stats.NewStats()
@@ -127,34 +125,34 @@
 	return e.Run(ctx)
 }
 
-// reload reads the settings anew at each SIGHUP and every reloadEvery. With a fault in the file the earlier ones stay: a host
-// with half of its settings would serve wrongly, and one that stopped would not serve at all.
-func reload(
+// reloadSettings reads the settings at each SIGHUP and every reloadInterval. A faulty file leaves the current settings in force: a host
+// with part of its settings would serve wrongly, and one that stopped would not serve at all.
+func reloadSettings(
 	ctx context.Context, hangups <-chan os.Signal, path string, current *atomic.Pointer[setup.Setup], log *logger.Logger, lines *zap.Logger,
 ) {
 	wake := make(chan struct{}, 1)
-	go forward(ctx, hangups, wake)
+	go forwardSignals(ctx, hangups, wake)
 	faulty := ""
-	for range turns.Now(ctx, reloadEvery, wake) {
+	for range ticker.Repeat(ctx, reloadInterval, wake) {
 		next, err := setup.Load(path)
 		if err != nil {
 			if err.Error() != faulty {
 				faulty = err.Error()
-				lines.Error("settings refused; the earlier ones stay", zap.Error(err))
+				lines.Error("settings not reloaded; keeping the current ones", zap.Error(err))
 			}
 			continue
 		}
 		faulty = ""
 		if *current.Load() != next {
 			current.Store(&next)
-			log.SetLevel(level(next.Level))
+			log.SetLevel(parseLevel(next.Level))
 			lines.Info("settings reloaded", zap.String("file", path))
 		}
 	}
 }
 
-// forward turns signals into wakes.
-func forward(ctx context.Context, signals <-chan os.Signal, wake chan<- struct{}) {
+// forwardSignals wakes the receiver for each signal.
+func forwardSignals(ctx context.Context, signals <-chan os.Signal, wake chan<- struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/start/start_test.go
+++ b/internal/start/start_test.go
@@ -13,17 +13,17 @@
 	"testing"
 	"time"
 
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 	"damaskreach/platform"
 )
 
-// hangUpEvery is the pause between two signals to read the settings.
-const hangUpEvery = 20 * time.Millisecond
+// hangUpInterval is the time between two SIGHUPs.
+const hangUpInterval = 20 * time.Millisecond
 
-// asHost has the test program run as a host.
-const asHost = "DAMASKREACH_TEST_HOST"
+// hostEnv makes the test program run as a host with the settings file that it names.
+const hostEnv = "DAMASKREACH_TEST_HOST"
 
-// settings are those of a host whose store is not there.
+// settings are those of a host whose store is not reachable.
 const settings = `
 name = "edge-1"
 ip = "127.0.0.1"
@@ -49,74 +49,73 @@
 `
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(asHost); path != "" {
+	if path := os.Getenv(hostEnv); path != "" {
 		os.Exit(platform.Run([]string{"--config", path}, os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// A host is told to read its settings anew while it stops: killed by that signal, it leaves the requests under way without an answer.
-func TestHostThatStopsOutlivesAHangup(t *testing.T) {
+// A host gets a SIGHUP while it stops. It must not be killed by that, or requests in flight would get no answer.
+func TestStoppingHostSurvivesSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatalf("writing the settings: %v", err)
 	}
-	host, out := run(t, path)
+	host, out := startHost(t, path)
 	lines := bufio.NewScanner(out)
-	await(t, lines, `"started"`)
-	signal(t, host, syscall.SIGTERM)
-	await(t, lines, `"leaving"`)
-	stop := hangUp(t, host)
-	await(t, lines, `"stopped"`)
+	waitForLine(t, lines, `"started"`)
+	sendSignal(t, host, syscall.SIGTERM)
+	waitForLine(t, lines, `"leaving"`)
+	stop := sendHangups(t, host)
+	waitForLine(t, lines, `"stopped"`)
 	stop()
 	if err := host.Wait(); err != nil {
 		t.Errorf("the host ended with %v, want success", err)
 	}
 }
 
-// A host is told to read its settings anew while it reads them for the first time: killed by that signal, it has to be started once more, and its
-// callers are without it meanwhile.
-func TestHostThatStartsOutlivesAHangup(t *testing.T) {
+// A host gets a SIGHUP while it first reads its settings. Killed by that, it would have to be started again, without service meanwhile.
+func TestStartingHostSurvivesSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatalf("making a pipe: %v", err)
 	}
-	host, out := run(t, path)
-	reads, err := os.OpenFile(path, os.O_WRONLY, 0) // opens once the host reads
+	host, out := startHost(t, path)
+	reads, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the host opens the file
 	if err != nil {
 		t.Fatalf("opening the settings: %v", err)
 	}
-	signal(t, host, syscall.SIGHUP)
+	sendSignal(t, host, syscall.SIGHUP)
 	if _, err := reads.WriteString(settings); err != nil {
 		t.Fatalf("writing the settings: %v", err)
 	}
 	reads.Close()
 	lines := bufio.NewScanner(out)
-	await(t, lines, `"started"`)
+	waitForLine(t, lines, `"started"`)
 }
 
-// Whoever reads a host's lines ends. Ended by its next line, the host would leave all requests under way without an answer.
-func TestHostOutlivesTheReaderOfItsLines(t *testing.T) {
+// The reader of a host's log exits. Killed by its next line, the host would leave all requests in flight without an answer.
+func TestHostSurvivesClosedStdout(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatalf("writing the settings: %v", err)
 	}
-	host, out := run(t, path)
-	await(t, bufio.NewScanner(out), `"started"`)
+	host, out := startHost(t, path)
+	waitForLine(t, bufio.NewScanner(out), `"started"`)
 	if err := out.Close(); err != nil {
 		t.Fatalf("closing the output: %v", err)
 	}
-	signal(t, host, syscall.SIGTERM)
+	sendSignal(t, host, syscall.SIGTERM)
 	if err := host.Wait(); err != nil {
 		t.Errorf("the host ended with %v, want success", err)
 	}
 }
 
-// run starts a host, which ends with the test.
-func run(t *testing.T, path string) (host *exec.Cmd, out io.ReadCloser) {
+// startHost starts a host, which is killed when the test ends.
+func startHost(t *testing.T, path string) (host *exec.Cmd, out io.ReadCloser) {
 	t.Helper()
 	host = exec.Command(os.Args[0])
-	host.Env = append(os.Environ(), asHost+"="+path)
+	host.Env = append(os.Environ(), hostEnv+"="+path)
 	out, err := host.StdoutPipe()
 	if err != nil {
 		t.Fatalf("output: %v", err)
@@ -128,21 +127,21 @@
 	return host, out
 }
 
-func signal(t *testing.T, host *exec.Cmd, s syscall.Signal) {
+func sendSignal(t *testing.T, host *exec.Cmd, s syscall.Signal) {
 	t.Helper()
 	if err := host.Process.Signal(s); err != nil {
 		t.Errorf("%v: %v", s, err)
 	}
 }
 
-// hangUp tells a host to read its settings anew again and again, until stop is called.
-func hangUp(t *testing.T, host *exec.Cmd) (stop func()) {
+// sendHangups sends a host SIGHUPs until stop is called.
+func sendHangups(t *testing.T, host *exec.Cmd) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var sends sync.WaitGroup
 	sends.Go(func() {
-		for range turns.Every(ctx, hangUpEvery) {
-			signal(t, host, syscall.SIGHUP)
+		for range ticker.Every(ctx, hangUpInterval) {
+			sendSignal(t, host, syscall.SIGHUP)
 		}
 	})
 	return func() {
@@ -151,8 +150,8 @@
 	}
 }
 
-// await reads the host's lines up to one with a text.
-func await(t *testing.T, lines *bufio.Scanner, text string) {
+// waitForLine reads the host's log up to a line that contains text.
+func waitForLine(t *testing.T, lines *bufio.Scanner, text string) {
 	t.Helper()
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), text) {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,12 +1,12 @@
-// Package state holds what an engine reports of itself when it is asked, some hundred milliseconds late.
+// Package state holds an engine's report of its own state, which is some hundred milliseconds old when it arrives.
 package state
 
-// State is immutable.
+// State is one report. It is immutable.
 type State struct {
-	Born     int64
-	Sequence int64 // orders accepted since it started
-	Busy     bool  // a base model is being loaded or unloaded
-	Models   []string
-	Adapters map[string]int // "model/adapter" and its version
-	Pending  map[string]int // adapters on their way to it
+	Incarnation int64
+	Sequence    int64 // number of orders accepted since it started
+	Busy        bool  // a base model is being loaded or unloaded
+	Models      []string
+	Adapters    map[string]int // versions by "model/adapter"
+	Pending     map[string]int // versions of adapters that are being loaded
 }
--- a/internal/stock/stock.go
+++ b/internal/stock/stock.go
@@ -1,15 +1,15 @@
-// Package stock holds what a host tells others of an engine: what it holds and how fast it is.
+// Package stock holds an owner's report of an engine to other hosts: the adapters that it holds, and its speed.
 package stock
 
 import "time"
 
-// Stock is immutable.
+// Stock is one report. It is immutable.
 type Stock struct {
-	ID       string         `msgpack:"i"`
-	Born     int64          `msgpack:"b"`
-	Sequence int64          `msgpack:"s"`
-	Adapters map[string]int `msgpack:"a"`
-	Event    time.Duration  `msgpack:"e,omitempty"` // usually between two events of a stream; 0 where it is unknown
-	// Recent are adapters whose weights it has at hand, the one used last first; not told to other hosts.
+	ID            string         `msgpack:"i"`
+	Incarnation   int64          `msgpack:"b"`
+	Sequence      int64          `msgpack:"s"`
+	Adapters      map[string]int `msgpack:"a"`
+	EventInterval time.Duration  `msgpack:"e,omitempty"` // usual time between two events of a stream; 0 where it is unknown
+	// Recent lists adapters whose weights the engine has cached, most recently used first; it is not sent to other hosts.
 	Recent []string `msgpack:"-"`
 }
--- a/internal/suspct/follow.go
+++ b/internal/suspct/follow.go
@@ -9,12 +9,12 @@
 
 	"damaskreach/internal/rows"
 	"damaskreach/internal/table"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 // Run reads other nodes' records, writes what could not be written before and ends lives, until ctx ends.
 func (s *Suspect) Run(ctx context.Context) {
-	for range turns.Now(ctx, s.Poll, nil) {
+	for range ticker.Repeat(ctx, s.Poll, nil) {
 		if err := s.read(ctx); err != nil {
 			s.Log.Warn("reading the suspects failed; other nodes pass theirs on", zap.Error(err))
 		}
--- a/internal/table/client.go
+++ b/internal/table/client.go
@@ -17,13 +17,13 @@
 	"damaskreach/internal/rows"
 )
 
-// client speaks HTTP and JSON to the service's addresses.
+// client calls the service by HTTP and JSON.
 type client struct {
 	remote *remote.Remote
 }
 
-// NewTable returns a table reached over HTTP at the first of addrs that takes a call.
-// Calls take as long as their contexts allow. dial opens a TCP connection to an address.
+// NewTable returns a table reached over HTTP at the first of addrs that accepts a call. Calls take as long as their contexts allow. dial
+// opens a TCP connection to an address.
 func NewTable(addrs []string, dial func(ctx context.Context, addr string) (net.Conn, error)) Table {
 	c := &client{remote: remote.NewRemote(addrs, dial)}
 	return Table{Read: c.read, List: c.list, Write: c.write, Tail: c.tail}
@@ -35,7 +35,7 @@
 		return rows.Row{}, merry.Prependf(err, "reading %q", key)
 	}
 	if len(body.Rows) != 1 || body.Rows[0].Key != key {
-		return rows.Row{}, merry.Prependf(ErrLost, "reading %q: the answer is about %d other rows", key, len(body.Rows))
+		return rows.Row{}, merry.Prependf(ErrLost, "reading %q: the response has %d rows, not the one requested", key, len(body.Rows))
 	}
 	return body.Rows[0], nil
 }
@@ -49,8 +49,8 @@
 }
 
 func (c *client) write(ctx context.Context, edits ...rows.Row) (int64, error) {
-	if slices.ContainsFunc(edits, func(e rows.Row) bool { return e.Same }) {
-		return 0, merry.Prependf(ErrInvalid, "writing %d rows: the service has no edit that only expects a revision", len(edits))
+	if slices.ContainsFunc(edits, func(e rows.Row) bool { return e.CheckOnly }) {
+		return 0, merry.Prependf(ErrInvalid, "writing %d rows: the service does not support check-only edits", len(edits))
 	}
 	data, err := json.Marshal(edits)
 	if err != nil {
@@ -83,13 +83,12 @@
 	if err != nil {
 		return reply.Reply{}, merry.Wrap(ErrLost, merry.WithCause(err))
 	}
-	return answer(status, body)
+	return decodeReply(status, body)
 }
 
-// answer turns an answer into a reply or the error that its status stands for.
-// A body that is no reply comes from something else than the service: it proves nothing.
-// Were the 404 of some other server taken for ErrAbsent, a row that exists would be created anew.
-func answer(status int, data []byte) (reply.Reply, error) {
+// decodeReply decodes a response into a reply or the error that its status stands for. A body that is no reply comes from another server
+// and proves nothing: if the 404 of another server counted as ErrAbsent, an existing row would be created anew.
+func decodeReply(status int, data []byte) (reply.Reply, error) {
 	var body reply.Reply
 	if err := json.Unmarshal(data, &body); err != nil {
 		return reply.Reply{}, merry.Appendf(ErrLost, "status %d: %v", status, err)
--- a/internal/table/client_test.go
+++ b/internal/table/client_test.go
@@ -29,8 +29,8 @@
 	table table.Table
 }
 
-// run calls test in a bubble with a site whose answers are made by handler, or by the table if that is nil.
-func run(t *testing.T, handler http.Handler, test func(t *testing.T, s site)) {
+// runSite runs test in a synctest bubble with a site that serves handler, or the table if that is nil.
+func runSite(t *testing.T, handler http.Handler, test func(t *testing.T, s site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := site{net: memnet.NewNet(1), db: rowdb.NewDB()}
@@ -80,7 +80,7 @@
 }
 
 func TestAllOperationsOverHTTP(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		ctx := t.Context()
 		rev, err := s.table.Write(ctx, rows.Row{Key: "a/1", Value: []byte("x")}, rows.Row{Key: "a/2"})
 		if rev != 1 || err != nil {
@@ -115,27 +115,27 @@
 	})
 }
 
-// The service cannot expect a revision without a write. Sent all the same, the edit would empty the row.
-func TestEditThatStaysTheSameIsRejected(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
-		_, err := s.table.Write(t.Context(), rows.Row{Key: "a/1", Same: true})
+// The service cannot check a revision without a write: a check-only edit sent to it would empty the row.
+func TestCheckOnlyEditIsRejected(t *testing.T) {
+	runSite(t, nil, func(t *testing.T, s site) {
+		_, err := s.table.Write(t.Context(), rows.Row{Key: "a/1", CheckOnly: true})
 		wantError(t, "Write", err, table.ErrInvalid)
 		wantRev(t, s, 0)
 	})
 }
 
-// The service refuses calls. A caller is told that its write had no effect, and that is so.
+// The service refuses calls: the caller must learn that its write had no effect.
 func TestServiceDown(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		s.db.SetDown(true)
 		wantError(t, "Write", s.write(t, time.Minute), table.ErrDown)
 		wantRev(t, s, 0)
 	})
 }
 
-// No host of the service can be reached. The caller learns within its own deadline that nothing was written.
+// No host of the service is reachable: the caller must learn within its own deadline that nothing was written.
 func TestUnreachable(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		s.net.Cut(clientHost, firstHost)
 		s.net.Cut(clientHost, secondHost)
 		wantError(t, "Write", s.write(t, 500*time.Millisecond), table.ErrDown)
@@ -147,9 +147,9 @@
 	})
 }
 
-// The first host of the service is cut off. Calls go to the second one, and stay there.
-func TestNextAddress(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+// The first host of the service is cut off: calls must go to the second one, and stay there.
+func TestFailoverToNextAddress(t *testing.T) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		s.net.Cut(clientHost, firstHost)
 		wantError(t, "Write", s.write(t, time.Minute), nil)
 		start := time.Now()
@@ -160,10 +160,9 @@
 	})
 }
 
-// The connection breaks after the write took effect. The caller must not take that for a write that failed,
-// and the client must not send it again by itself.
-func TestAnswerLost(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+// The connection breaks after a write took effect. The client must neither report it as failed nor send it again.
+func TestLostResponse(t *testing.T) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		s.db.LoseAnswers(2)
 		wantError(t, "Write", s.write(t, time.Minute), table.ErrLost)
 		wantRev(t, s, 1)
@@ -171,9 +170,9 @@
 	})
 }
 
-// The service is slower than the caller waits. The write takes effect after the caller has left.
-func TestSlowPastTheDeadline(t *testing.T) {
-	run(t, nil, func(t *testing.T, s site) {
+// The service is slower than the caller's deadline: the write takes effect after the caller has left.
+func TestWriteAppliedAfterDeadline(t *testing.T) {
+	runSite(t, nil, func(t *testing.T, s site) {
 		s.db.SetSlow(time.Minute)
 		err := s.write(t, time.Second)
 		wantError(t, "Write", err, table.ErrLost)
@@ -184,9 +183,9 @@
 	})
 }
 
-// A kept connection breaks as the next write goes out on it. http.Transport would repeat the write silently if
-// it could replay the body, and a write that had taken effect would be applied twice.
-func TestWriteIsSentOnceOverABrokenReusedConnection(t *testing.T) {
+// A kept-alive connection breaks as the next write is sent on it. If http.Transport could replay the body, it would retry silently and
+// apply a write twice.
+func TestWriteIsNotRetriedOnBrokenConnection(t *testing.T) {
 	received := 0
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received++
@@ -195,7 +194,7 @@
 		}
 		io.WriteString(w, `{"rev":1}`)
 	})
-	run(t, handler, func(t *testing.T, s site) {
+	runSite(t, handler, func(t *testing.T, s site) {
 		wantError(t, "first Write", s.write(t, time.Minute), nil)
 		wantError(t, "second Write", s.write(t, time.Minute), table.ErrLost)
 		if received != 2 {
@@ -204,16 +203,16 @@
 	})
 }
 
-// Something else than the service answers at its address, or the answer is cut short.
-// None of that proves that a write had no effect, or that a row does not exist.
-func TestForeignAnswersProveNothing(t *testing.T) {
+// Another server answers at the service's address, or the response is cut short. That does not prove that a write had no effect, or that
+// a row does not exist.
+func TestForeignResponsesCountAsLost(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"not found":    http.NotFound,
 		"no JSON":      func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "hello") },
 		"server error": func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "{}", http.StatusBadGateway) },
 		"redirect":     func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/", http.StatusTemporaryRedirect) },
 	} {
-		run(t, answer, func(t *testing.T, s site) {
+		runSite(t, answer, func(t *testing.T, s site) {
 			wantError(t, name+": Write", s.write(t, time.Minute), table.ErrLost)
 			_, err := s.table.Read(t.Context(), "a/1")
 			wantError(t, name+": Read", err, table.ErrLost)
--- a/internal/table/fuzz_test.go
+++ b/internal/table/fuzz_test.go
@@ -14,8 +14,8 @@
 	"damaskreach/internal/table"
 )
 
-// Anything may come back as an answer. The client must put it into one of its error classes, and must not
-// report a write as rejected, or a row as read, on the strength of a body that is no reply.
+// For any response, the client must return one of its error classes, and must not report a write as rejected, or a row as read, if the body
+// is no reply.
 func FuzzAnswer(f *testing.F) {
 	f.Add(200, `{"rows":[{"key":"a/1","rev":1}],"rev":1}`)
 	f.Add(409, `{"keys":["a/1"]}`)
@@ -24,9 +24,9 @@
 	f.Add(200, `{"rev":`)
 	f.Fuzz(func(t *testing.T, status int, body string) {
 		if status < 200 || status > 599 || status == http.StatusNoContent || status == http.StatusNotModified {
-			return // such an answer has no body
+			return // such a response has no body
 		}
-		tab := table.NewTable([]string{"10.0.0.9:1"}, canned(status, body))
+		tab := table.NewTable([]string{"10.0.0.9:1"}, cannedServer(status, body))
 		row, err := tab.Read(t.Context(), "a/1")
 		if err == nil && row.Key != "a/1" {
 			t.Errorf("Read returned the row %q, want a/1", row.Key)
@@ -34,14 +34,14 @@
 		_, writeErr := tab.Write(t.Context(), rows.Row{Key: "a/1"})
 		_, _, tailErr := tab.Tail(t.Context(), "a/", 0)
 		for _, err := range []error{err, writeErr, tailErr} {
-			if err != nil && !classed(err) {
+			if err != nil && !hasClass(err) {
 				t.Errorf("status %d, body %q: error %v has no class", status, body, err)
 			}
 		}
 	})
 }
 
-func classed(err error) bool {
+func hasClass(err error) bool {
 	classes := []error{table.ErrDown, table.ErrLost, table.ErrConflict, table.ErrAbsent, table.ErrInvalid, table.ErrCompacted}
 	for _, class := range classes {
 		if errors.Is(err, class) {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// canned returns a dial to a server that gives each request the same answer.
-func canned(status int, body string) func(context.Context, string) (net.Conn, error) {
+// cannedServer returns a dial to a server that gives each request the same response.
+func cannedServer(status int, body string) func(context.Context, string) (net.Conn, error) {
 	return func(context.Context, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go func() {
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,4 +1,4 @@
-// Package target holds one upstream as it registered itself.
+// Package target holds the registration of one upstream.
 package target
 
 import (
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Target is immutable.
+// Target is one registration. It is immutable.
 type Target struct {
-	ID       string
-	Born     int64 // start of this incarnation; a restart may keep the id
-	Group    string
-	Addr     string
-	Centre   string
-	Slots    int
-	Draining bool
-	Gone     time.Time      // by when it is gone, where it said so
-	Sequence int64          // orders that it has accepted since it started
-	Models   []string       // base models that it holds
-	Cached   []string       // base models whose weights it need not bring from the weight store
-	Adapters map[string]int // "model/adapter" and its version, as of Sequence
+	ID          string
+	Incarnation int64 // when this incarnation started; a restart may keep the id
+	Group       string
+	Addr        string
+	Centre      string
+	Slots       int
+	Draining    bool
+	GoneBy      time.Time      // deadline of its shutdown, where it has announced one
+	Sequence    int64          // number of orders that it has accepted since it started
+	Models      []string       // base models that it holds
+	Cached      []string       // base models whose weights it need not fetch from the weight store
+	Adapters    map[string]int // versions by "model/adapter", as of Sequence
 }
 
-// Same reports whether two registrations are of one incarnation.
-func (t Target) Same(other Target) bool {
-	return t.ID == other.ID && t.Born == other.Born
+// SameIncarnation reports whether two registrations are of one incarnation of an upstream.
+func (t Target) SameIncarnation(other Target) bool {
+	return t.ID == other.ID && t.Incarnation == other.Incarnation
 }
 
-// Has reports whether it holds a base model.
-func (t Target) Has(model string) bool {
+// HasModel reports whether the upstream holds a base model.
+func (t Target) HasModel(model string) bool {
 	return slices.Contains(t.Models, model)
 }
 
-// AtHand reports whether a base model's weights need not come from the weight store.
-func (t Target) AtHand(model string) bool {
+// HasWeights reports whether the upstream need not fetch a base model's weights from the weight store.
+func (t Target) HasWeights(model string) bool {
 	return slices.Contains(t.Cached, model)
 }
--- a/internal/tenure/wire_test.go
+++ b/internal/tenure/adapter_test.go
@@ -10,14 +10,14 @@
 	"damaskreach/internal/table"
 )
 
-// lateBy is how long after its caller gave up a write reaches the store.
-const lateBy = 2500 * time.Millisecond
+// lateDelay is how long after its caller gave up a write reaches the store.
+const lateDelay = 2500 * time.Millisecond
 
-// wire returns the store as the platform's adapter shows it: the revisions on the wire are bare numbers, and the adapter learns with the answer that
-// a new era has begun. A write that expects a number of the era before takes effect where that number was given out again.
-func (s *site) wire(h *host, ip string) table.Table {
+// storeAdapter returns the store as the platform's adapter shows it: revisions on the wire are bare numbers, and the adapter learns of a
+// new era with the answer. A write that expects a number of the era before takes effect where that number was issued again.
+func (s *site) storeAdapter(h *host, ip string) table.Table {
 	t := s.db.TableFor(ip)
-	var era atomic.Int64 // that this adapter has seen
+	var era atomic.Int64 // newest era that this adapter has seen
 	learn := func(err error) {
 		if !errors.Is(err, table.ErrDown) && !errors.Is(err, table.ErrLost) {
 			now, _ := rows.Era(s.db.Rev())
@@ -29,8 +29,8 @@
 		var sent []rows.Row
 		for _, e := range edits {
 			of, number := rows.Era(e.Rev)
-			if e.Rev != 0 && e.Rev != rows.Any && of == known {
-				e.Rev = rows.At(now, number)
+			if e.Rev != 0 && e.Rev != rows.AnyRev && of == known {
+				e.Rev = rows.NewRev(now, number)
 			}
 			sent = append(sent, e)
 		}
@@ -40,7 +40,7 @@
 	t.Write = func(ctx context.Context, edits ...rows.Row) (int64, error) {
 		known := era.Load()
 		if h.isLate() {
-			time.AfterFunc(lateBy, func() { write(context.Background(), bare(edits, known)...) })
+			time.AfterFunc(lateDelay, func() { write(context.Background(), bare(edits, known)...) })
 			<-ctx.Done()
 			return 0, table.ErrLost
 		}
--- a/internal/tenure/bench_test.go
+++ b/internal/tenure/bench_test.go
@@ -16,8 +16,8 @@
 	"damaskreach/internal/tenure"
 )
 
-// shared returns the rows of so many hosts with ten engines each, and the engines.
-func shared(b *testing.B, hosts int) (list []rows.Row, engines map[string]string) {
+// ownedSite returns the rows of hosts with ten engines each, and the engines.
+func ownedSite(b *testing.B, hosts int) (list []rows.Row, engines map[string]string) {
 	engines = map[string]string{}
 	put := func(key string, value any) {
 		data, err := msgpack.Marshal(value)
@@ -38,11 +38,11 @@
 	return append(list, rows.Row{Key: tenure.Prefix + "secret", Value: []byte("secret"), Rev: 1}), engines
 }
 
-// A host asks ten times a second which engines it orders.
-func BenchmarkMine(b *testing.B) {
+// A host asks ten times a second which engines it owns.
+func BenchmarkOwnedEngines(b *testing.B) {
 	for _, hosts := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			list, engines := shared(b, hosts)
+			list, engines := ownedSite(b, hosts)
 			begun := time.Now()
 			store := table.Table{
 				First: func(context.Context, string, int) ([]rows.Row, int64, bool, error) { return list, 1, false, nil },
@@ -51,20 +51,21 @@
 			}
 			t := &tenure.Tenure{
 				Table: store, Store: store, IP: "10.0.0.7", Centre: "dc", Clock: func() time.Duration { return time.Since(begun) },
-				Turn: func() time.Duration { return time.Second }, Engines: func() map[string]string { return engines },
-				Live: func(string) bool { return true }, Measured: func() rates.Rates { return rates.Rates{} },
-				Beside: func() []rows.Row { return nil }, Relaxed: func() bool { return false }, Pause: func() time.Duration { return time.Second },
-				Keep: func(string, int64, int64, []rows.Row) {}, Log: zap.NewNop(), Stats: stats.NewStats(),
+				OrderGap: func() time.Duration { return time.Second }, Engines: func() map[string]string { return engines },
+				Live: func(string) bool { return true }, LocalRates: func() rates.Rates { return rates.Rates{} },
+				ExtraRows: func() []rows.Row { return nil }, ReadDelegated: func() bool { return false },
+				RetryDelay: func() time.Duration { return time.Second },
+				Publish:    func(string, int64, int64, []rows.Row) {}, Log: zap.NewNop(), Stats: stats.NewStats(),
 			}
 			go t.Run(b.Context())
-			for len(t.Mine()) == 0 {
+			for len(t.OwnedEngines()) == 0 {
 				if time.Since(begun) > 5*time.Second {
-					b.Fatal("host orders no engine within 5 s")
+					b.Fatal("host owns no engine within 5 s")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			for b.Loop() {
-				t.Mine()
+				t.OwnedEngines()
 			}
 		})
 	}
--- a/internal/tenure/check.go
+++ b/internal/tenure/check.go
@@ -9,44 +9,45 @@
 	"damaskreach/internal/rows"
 )
 
-// checks returns what a renewal expects of the rows by which this host holds engines: a write of an earlier era may have replaced one. The others wait out
-// the lease from when they see that, so it must not be renewed by a host that has not. The rows that were not checked for the longest time come first.
-func (t *Tenure) checks(begins bool) (edits []rows.Row) {
+// renewalChecks returns the revisions that a renewal expects of this host's claims, the least recently checked first: a late write from
+// an earlier era may have replaced a claim. Other hosts wait for the lease to expire from when they see that write, so a host that has
+// not seen it must not renew.
+func (t *Tenure) renewalChecks(begins bool) (edits []rows.Row) {
 	if begins {
 		return nil
 	}
 	var ids []string
-	for id := range t.claimed() {
+	for id := range t.ownClaims() {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(t.own[a].checked, t.own[b].checked) })
+	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(t.owners[a].checkedAt, t.owners[b].checkedAt) })
 	for _, id := range ids {
-		edits = append(edits, rows.Row{Key: ownPrefix + id, Rev: t.own[id].rev, Same: true})
+		edits = append(edits, rows.Row{Key: ownPrefix + id, Rev: t.owners[id].rev, CheckOnly: true})
 	}
 	return edits
 }
 
-// checked notes that the store found the row of a key as this host knows it, asked at a time.
-func (t *Tenure) checked(key string, at time.Duration) {
+// markChecked notes that the store, asked at a time, had the row of a key at the known revision.
+func (t *Tenure) markChecked(key string, at time.Duration) {
 	id := strings.TrimPrefix(key, ownPrefix)
-	o, ok := t.own[id]
+	o, ok := t.owners[id]
 	if !ok {
 		return
 	}
-	o.checked = at
-	t.own[id] = o
+	o.checkedAt = at
+	t.owners[id] = o
 }
 
-// claimLeft returns how much is left of the lease under which this host holds an engine: no renewal has room to check more than some of many claims, and
-// one that leaves a claim out does not renew its lease.
-func (t *Tenure) claimLeft(o owned) time.Duration {
-	return min(t.left(), o.checked+Lease-t.Clock())
+// claimLeft returns how much is left of the lease on one claim: a renewal has room to check only some of many claims, and does not renew
+// the lease of those that it leaves out.
+func (t *Tenure) claimLeft(o ownerRow) time.Duration {
+	return min(t.sessionLeft(), o.checkedAt+Lease-t.Clock())
 }
 
-// renewIn returns when the next renewal is due after one that had room to check some of the claims: all are to be checked as often as one is.
-func renewIn(every time.Duration, room, claims int) time.Duration {
+// renewDelay returns when the next renewal is due if one has room for only some of the claims, so that each is checked once per interval.
+func renewDelay(every time.Duration, room, claims int) time.Duration {
 	if claims <= room {
 		return every
 	}
-	return max(firstEvery, every*time.Duration(room)/time.Duration(claims))
+	return max(shortInterval, every*time.Duration(room)/time.Duration(claims))
 }
--- a/internal/tenure/check_test.go
+++ b/internal/tenure/check_test.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// beside is how many rows a host writes along with a renewal at most, and besideEvery how often.
-	beside      = 90
-	besideEvery = 4 * time.Second
-	// claims is about how many engines each of three hosts holds: more than a renewal has room to check.
-	claims = 150
+	// extraRows is how many rows a host writes along with a renewal at most, and extraInterval how often.
+	extraRows     = 90
+	extraInterval = 4 * time.Second
+	// claimsPerHost is about how many engines each of three hosts holds: more than a renewal has room to check.
+	claimsPerHost = 150
 )
 
-// tellOfMany runs a story about three hosts that hold hundreds of engines.
-func tellOfMany(t *testing.T, what func(s *story)) {
+// runManyClaims runs a scenario with three hosts that hold hundreds of engines.
+func runManyClaims(t *testing.T, what func(s *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &story{site: newSite(t, engines(3*claims)...), t: t, hosts: map[string]*host{}, seen: map[string]order{}}
+		s := &scenario{site: newSite(t, engineIDs(3*claimsPerHost)...), t: t, hosts: map[string]*host{}, lastOrders: map[string]order{}}
 		for i := range 3 {
 			ip := fmt.Sprint("10.0.0.", i+1)
-			s.hosts[ip] = s.started(ip, func(h *host) { h.Beside = notes() })
+			s.hosts[ip] = s.startHostWith(ip, func(h *host) { h.ExtraRows = periodicRows() })
 		}
-		s.pass(20 * time.Second)
+		s.elapse(20 * time.Second)
 		what(s)
 	})
 }
 
-// notes returns what a host has written along with its renewals: as many rows as it may, now and then.
-func notes() func() []rows.Row {
+// periodicRows returns what a host writes along with its renewals: as many rows as it may, once per extraInterval.
+func periodicRows() func() []rows.Row {
 	var list []rows.Row
-	for i := range beside {
-		list = append(list, rows.Row{Key: fmt.Sprint("note/", i), Rev: rows.Any})
+	for i := range extraRows {
+		list = append(list, rows.Row{Key: fmt.Sprint("note/", i), Rev: rows.AnyRev})
 	}
 	var last time.Time
 	return func() []rows.Row {
-		if time.Since(last) < besideEvery {
+		if time.Since(last) < extraInterval {
 			return nil
 		}
 		last = time.Now()
@@ -47,39 +47,39 @@
 	}
 }
 
-// A write of the era before is carried out over one of more claims than a renewal has room to check, and the host, which reads nothing, goes on with
-// it beside its next one.
-func TestLeaseOfAClaimLastsNoLongerThanItIsChecked(t *testing.T) {
+// A late write of an earlier era replaces one of more claims than a renewal can check, while the host cannot read the store: it must not
+// keep the engine by renewing only its session.
+func TestClaimLeaseEndsWithoutChecks(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			tellOfMany(t, func(s *story) {
-				h := s.claimed("new")
-				s.voidClaim(h, "new")
+			runManyClaims(t, func(s *scenario) {
+				h := s.addClaimedEngine("new")
+				s.overwriteClaim(h, "new")
 				h.setBlind(true)
-				s.pass(takeover + turn)
+				s.elapse(maxTakeover + orderGap)
 				h.setBlind(false)
-				s.pass(takeover + turn)
-				s.wantHeld("in the end")
+				s.elapse(maxTakeover + orderGap)
+				s.wantOwned("in the end")
 			})
 		})
 	}
 }
 
-// A host holds more engines than a renewal has room to check, and some lapse before their turn to be checked comes.
+// A host holds more engines than a renewal can check: no claim may lapse before its turn to be checked.
 func TestManyClaimsAreCheckedInTime(t *testing.T) {
-	tellOfMany(t, func(s *story) {
+	runManyClaims(t, func(s *scenario) {
 		before := s.holders()
 		for range 30 {
-			s.pass(time.Second)
-			s.wantHeld("while nothing happens")
+			s.elapse(time.Second)
+			s.wantOwned("while nothing happens")
 		}
-		s.wantSame(before)
-		s.end("10.0.0.1")
-		s.end("10.0.0.2")
-		s.pass(takeover + 10*time.Second)
+		s.wantSameHolders(before)
+		s.stopHost("10.0.0.1")
+		s.stopHost("10.0.0.2")
+		s.elapse(maxTakeover + 10*time.Second)
 		for range 30 {
-			s.pass(time.Second)
-			s.wantHeld("at the host that is left")
+			s.elapse(time.Second)
+			s.wantOwned("at the host that is left")
 		}
 	})
 }
--- a/internal/tenure/claim.go
+++ b/internal/tenure/claim.go
@@ -14,63 +14,63 @@
 )
 
 const (
-	// leastHolders is how many hosts give orders at least, where there are so many: the loss of one stops the loads of an eighth
-	// of the engines until it is succeeded.
-	leastHolders = 8
-	// perHolder is how many engines one host gives orders to, where there are many: each asks for some loads a second.
-	perHolder = 6
-	// settleFor is how long a host that starts waits before it claims engines. Where no engine has a host yet it also waits as
-	// long after the last that it learned of: how many hosts give orders follows from how many engines there are, and those
-	// must have renewed their sessions by then.
-	settleFor = time.Second
-	// evenFor is how long an engine stays without a host before one takes it that holds twice the mean already.
-	evenFor = 3 * time.Second
-	// settled is how long a host counts as alive after its row was seen to change.
-	settled = 10 * time.Second
-	// passiveFor is how long a host that does not renew its row must have been silent for the row to be ended.
-	passiveFor = time.Minute
+	// minOwners is how many hosts own engines at least, where there are so many: the loss of one stops the loads of an eighth of
+	// the engines until others take over.
+	minOwners = 8
+	// enginesPerOwner is how many engines one host owns, where there are many: each needs some loads a second.
+	enginesPerOwner = 6
+	// settleDelay is how long a starting host waits before it claims engines. Where no engine has an owner yet it also waits that
+	// long after the last one that it learned of: the number of engines determines how many hosts own some, and those must have
+	// renewed their sessions by then.
+	settleDelay = time.Second
+	// overShareDelay is how long an engine stays unowned before a host takes it that holds twice the mean already.
+	overShareDelay = 3 * time.Second
+	// aliveTimeout is how long a host counts as alive after its row was seen to change.
+	aliveTimeout = 10 * time.Second
+	// passiveTimeout is how long a host that does not renew its session must be silent before others end it.
+	passiveTimeout = time.Minute
 )
 
-// endLapsed ends the sessions of hosts that have not renewed them for so long that they cannot act on them any more.
-func (t *Tenure) endLapsed(ctx context.Context) {
-	wait := t.wait()
+// endLapsedSessions ends the sessions of hosts that have not renewed them for so long that they cannot act on them any more.
+func (t *Tenure) endLapsedSessions(ctx context.Context) {
+	wait := t.takeoverWait()
 	t.mu.Lock()
 	now := t.Clock()
-	var lapsed []seen
+	var lapsed []hostRow
 	for ip, h := range t.hosts {
 		if ip == t.IP || h.Ended {
 			continue
 		}
-		if !h.Passive && now-h.since > wait || h.Passive && t.silentFor(ip, now) > passiveFor {
+		if !h.Passive && now-h.seenAt > wait || h.Passive && t.silentFor(ip, now) > passiveTimeout {
 			lapsed = append(lapsed, h)
 		}
 	}
 	t.mu.Unlock()
 	for _, h := range lapsed {
 		s := h.session
-		s.Ended, s.Epoch = true, t.next(h.rev)
-		t.write(ctx, "session of a lapsed host ended", s.IP, rows.Row{Key: hostPrefix + s.IP, Value: encode(s), Rev: h.rev})
+		s.Ended, s.Epoch = true, t.nextToken(h.rev)
+		t.writeRows(ctx, "end of a lapsed session", s.IP, rows.Row{Key: hostPrefix + s.IP, Value: encode(s), Rev: h.rev})
 	}
 }
 
-// silentFor returns how long a host that does not renew its row was not heard, as far as this host has looked. Hosts that lose their relays
-// hear nobody for a moment, and would end the sessions of all others at once.
+// silentFor returns for how long this host has seen a passive host not answer. It is counted from the first failed check: a host that
+// loses its relays reaches nobody for a moment, and would end all other sessions at once.
 func (t *Tenure) silentFor(ip string, now time.Duration) time.Duration {
 	if t.Live(ip) {
-		delete(t.silent, ip)
+		delete(t.silentSince, ip)
 		return 0
 	}
-	since, known := t.silent[ip]
+	since, known := t.silentSince[ip]
 	if !known {
-		t.silent[ip] = now
+		t.silentSince[ip] = now
 		return 0
 	}
 	return now - since
 }
 
-// write writes rows and, where that succeeded, believes them at once.
-func (t *Tenure) write(ctx context.Context, what, about string, edits ...rows.Row) bool {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+// writeRows writes rows and, on success, applies them at once.
+func (t *Tenure) writeRows(ctx context.Context, what, about string, edits ...rows.Row) bool {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := t.Clock()
 	rev, err := t.Table.Write(ctx, edits...)
@@ -83,163 +83,163 @@
 	defer t.mu.Unlock()
 	now := t.Clock()
 	if era, _ := rows.Era(rev); era != t.era {
-		t.enter(era, now)
+		t.enterEra(era, now)
 		return false
 	}
 	for _, row := range edits {
 		row.Rev = rev
-		t.take(row, now)
-		t.checked(row.Key, sent)
+		t.applyRow(row, now)
+		t.markChecked(row.Key, sent)
 	}
 	return true
 }
 
-// claim takes engines that no host holds; it reports false where some are left without one.
-func (t *Tenure) claim(ctx context.Context, age time.Duration) bool {
-	t.makeSecret(ctx)
-	if age < settleFor {
+// claimUnowned claims unowned engines; it returns false where some remain unowned.
+func (t *Tenure) claimUnowned(ctx context.Context, age time.Duration) bool {
+	t.ensureSecret(ctx)
+	if age < settleDelay {
 		return false
 	}
-	edits, left := t.free()
+	edits, left := t.claimEdits()
 	if len(edits) == 0 {
 		return left == 0
 	}
-	if !t.write(ctx, "engines claimed", strconv.Itoa(len(edits)), edits...) {
-		t.reread()
+	if !t.writeRows(ctx, "claim of engines", strconv.Itoa(len(edits)), edits...) {
+		t.forceRead()
 		return false
 	}
 	t.Stats.Add(stats.Claims, int64(len(edits)))
 	return left == len(edits)
 }
 
-// reread has the rows read at the next look, also where another host reads for this one: they are not what this host believes.
-func (t *Tenure) reread() {
+// forceRead makes the next step read the rows, even where another host reads for this one: its rows proved out of date.
+func (t *Tenure) forceRead() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.full = -t.restMost()
+	t.lastRead = -t.delegatedInterval()
 }
 
-// soon returns when to look next while something is to be claimed, or there is no secret yet.
-func (t *Tenure) soon() time.Duration {
+// claimDelay returns the time to the next step while something is to be claimed, or there is no secret yet.
+func (t *Tenure) claimDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if in := t.makeAt - t.Clock(); t.secret == nil && in > 0 {
-		return min(in, secretWithin)
+	if in := t.createSecretAt - t.Clock(); t.secret == nil && in > 0 {
+		return min(in, secretSpread)
 	}
-	return firstEvery
+	return shortInterval
 }
 
-// free returns the rows by which this host claims engines now, and how many engines have no host. The first host that an engine hashes to, of those
-// with less than their share, goes first; another one claims it only where it stayed without a host for two readings.
-func (t *Tenure) free() (edits []rows.Row, left int) {
+// claimEdits returns the rows by which this host claims engines now, and how many engines have no owner. The host to which an engine
+// hashes, of those below their share, goes first; another one claims it only if it stays unowned for two reads.
+func (t *Tenure) claimEdits() (edits []rows.Row, left int) {
 	engines := t.Engines()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock()
-	t.opensAt = now + readEvery
-	if !t.renewed || t.unsure || t.left() < orderSlack || t.outdated() {
+	t.nextClaimAt = now + readInterval
+	if !t.hasSession || t.ownersStale || t.sessionLeft() < minOrderLease || t.eraOutdated() {
 		return nil, 0
 	}
-	if t.growing(now, len(engines)) {
+	if t.discovering(now, len(engines)) {
 		return nil, len(engines)
 	}
-	share := t.share(len(engines))
-	held := sync.OnceValue(t.holdings) // mostly no engine is without a host
+	share := t.maxShare(len(engines))
+	held := sync.OnceValue(t.claimCounts) // usually no engine is unowned
 	full := func(ip string) bool { return held()[ip] >= share }
 	for id, centre := range engines {
-		o := t.own[id]
-		if t.lasts(o) {
-			delete(t.fresh, id)
+		o := t.owners[id]
+		if t.isOwned(o) {
+			delete(t.unownedSince, id)
 			continue
 		}
-		in, mine := t.opens(id, now)
+		in, carried := t.claimableIn(id, now)
 		if in > 0 {
-			delete(t.fresh, id)
-			t.opensAt = min(t.opensAt, now+in)
+			delete(t.unownedSince, id)
+			t.nextClaimAt = min(t.nextClaimAt, now+in)
 			continue
 		}
 		if t.Blocked != nil && t.Blocked(id) {
 			continue
 		}
 		left++
-		since, waiting := t.fresh[id]
+		since, waiting := t.unownedSince[id]
 		if !waiting {
 			since = now
-			t.fresh[id] = now
+			t.unownedSince[id] = now
 		}
-		if len(edits) >= most || !mine && now-since < 2*firstEvery && !t.isFirst(id, centre, full) {
+		if len(edits) >= maxClaims || !carried && now-since < 2*shortInterval && !t.isPreferred(id, centre, full) {
 			continue
 		}
-		if !mine && len(edits) >= share-held()[t.IP] && now-since < evenFor {
+		if !carried && len(edits) >= share-held()[t.IP] && now-since < overShareDelay {
 			continue
 		}
-		next := ownership{IP: t.IP, Epoch: t.epoch, Fence: t.next(o.rev)}
-		t.Log.Info("engine to be claimed", zap.String("target", id), zap.Int64("fence", next.Fence), zap.String("before", o.IP), zap.Int64("revision", o.rev))
+		next := ownership{IP: t.IP, Epoch: t.epoch, Fence: t.nextToken(o.rev)}
+		t.Log.Info("engine to be claimed", zap.String("target", id), zap.Int64("fence", next.Fence),
+			zap.String("before", o.IP), zap.Int64("revision", o.rev))
 		edits = append(edits, rows.Row{Key: ownPrefix + id, Value: encode(next), Rev: o.rev})
 	}
 	return edits, left
 }
 
-// young reports whether the whole site seems to start, this host with it, and who should give orders cannot be told yet. Each host
-// would take itself for one of the first, and begin a session that it ends a second later: some calls a host, all at once.
-func (t *Tenure) young() bool {
-	return len(t.own) == 0 && t.Clock()-t.begun < settleFor
+// siteStarting reports whether the whole site seems to start, so that this host cannot tell yet whether it should own engines. Each host
+// would assume so and begin a session that it ends a second later, at the cost of several simultaneous store calls per host.
+func (t *Tenure) siteStarting() bool {
+	return len(t.owners) == 0 && t.Clock()-t.startedAt < settleDelay
 }
 
-// holder reports whether this host should give orders: it does already, or it is one of as many hosts as the engines need.
-// Each host that may give orders renews its session; with a hundred hosts those renewals would be most calls to the store.
-func (t *Tenure) holder() bool {
+// shouldOwn reports whether this host should own engines: it does already, or it is among as many hosts as the engines need. Each
+// owner renews its session; with a hundred owners those renewals would be most calls to the store.
+func (t *Tenure) shouldOwn() bool {
 	if t.epoch > 0 {
-		for range t.claimed() {
+		for range t.ownClaims() {
 			return true
 		}
 	}
-	if t.keptLeft() > 0 {
+	if t.carriedLeft() > 0 {
 		return true
 	}
 	now := t.Clock()
-	mine, before := rank(t.IP), 0
+	ownRank, before := rank(t.IP), 0
 	for ip, h := range t.hosts {
-		if ip == t.IP || h.Ended || !t.able(ip) || now-h.since > settled && t.silentFor(ip, now) > settled {
+		if ip == t.IP || h.Ended || !t.peerReaches(ip) || now-h.seenAt > aliveTimeout && t.silentFor(ip, now) > aliveTimeout {
 			continue
 		}
-		if rank(ip) < mine {
+		if rank(ip) < ownRank {
 			before++
 		}
 	}
-	return before < max(leastHolders, len(t.Engines())/perHolder)
+	return before < max(minOwners, len(t.Engines())/enginesPerOwner)
 }
 
-// rank orders hosts, or hosts for an engine, the same way everywhere.
+// rank orders hosts, or hosts for an engine, in the same way everywhere.
 func rank(text string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(text))
 	return mix(sum.Sum64())
 }
 
-// isFirst reports whether this host is the live one that an engine hashes to, those in the engine's own data centre before others: an order
-// and a report that stay there cost no bytes between data centres. A host that has its share leaves the engine to the next one; were it left to
-// all others alike, they would claim it at the same moment and all but one in vain. Mostly one of the first hosts that it looks at comes before
-// it.
-func (t *Tenure) isFirst(id, centre string, full func(ip string) bool) bool {
+// isPreferred reports whether this host is the one to which an engine hashes, those in the engine's data centre before others: orders and
+// reports that stay there cost no bytes between data centres. A host that has its share leaves the engine to the next one only; were it
+// open to all others, they would claim it at once and all but one fail. One of the first hosts compared usually settles the answer.
+func (t *Tenure) isPreferred(id, centre string, full func(ip string) bool) bool {
 	self, ok := t.hosts[t.IP]
 	if !ok || self.Ended || self.Passive {
 		return false
 	}
-	mine, near := rank(t.IP+"/"+id), self.Centre == centre
+	ownRank, near := rank(t.IP+"/"+id), self.Centre == centre
 	for ip, h := range t.hosts {
-		if ip == t.IP || h.Ended || h.Passive || full(ip) || !t.able(ip) {
+		if ip == t.IP || h.Ended || h.Passive || full(ip) || !t.peerReaches(ip) {
 			continue
 		}
 		here := h.Centre == centre
-		if here && !near || here == near && rank(ip+"/"+id) > mine {
+		if here && !near || here == near && rank(ip+"/"+id) > ownRank {
 			return false
 		}
 	}
 	return true
 }
 
-// mix spreads the low bits of a hash, which FNV leaves alike for alike texts.
+// mix spreads the low bits of a hash, which FNV leaves similar for similar texts.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/tenure/hosts.go
+++ b/internal/tenure/hosts.go
@@ -5,14 +5,14 @@
 	"damaskreach/internal/rates"
 )
 
-// Secret returns the key by which hosts know each other; nil before the rows were read.
+// Secret returns the key by which hosts authenticate each other; nil before the rows were read.
 func (t *Tenure) Secret() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.secret
 }
 
-// Rates returns what hosts have measured of engines, as their rows tell, also those of hosts that are gone.
+// Rates returns the median of what hosts have measured of engines, including hosts that are gone.
 func (t *Tenure) Rates() rates.Rates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -23,7 +23,7 @@
 	return rates.Median(list)
 }
 
-// Hosts returns all hosts whose sessions have not lapsed, by IP.
+// Hosts returns all hosts whose sessions have not ended, by IP.
 func (t *Tenure) Hosts() map[string]mate.Mate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,8 +36,8 @@
 	return hosts
 }
 
-// Count returns how many hosts there are whose sessions have not lapsed, this one included.
-func (t *Tenure) Count() int {
+// HostCount returns how many hosts have sessions that have not ended, this one included.
+func (t *Tenure) HostCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
@@ -49,7 +49,7 @@
 	return count + 1
 }
 
-// Host returns one host, also where its session has lapsed; an empty one where it is not known.
+// Host returns one host, even if its session has ended; the zero value where it is not known.
 func (t *Tenure) Host(ip string) mate.Mate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tenure/past_test.go
+++ b/internal/tenure/late_write_test.go
@@ -14,11 +14,11 @@
 	"damaskreach/internal/tenure"
 )
 
-// past keeps what rows held in eras of before.
-type past map[string][][]byte
+// earlierRows is what rows held in earlier eras.
+type earlierRows map[string][][]byte
 
-// note takes what the store has now, but for the secret of the hosts.
-func (p past) note(s *story) {
+// record adds the store's current rows, but for the secret of the hosts.
+func (p earlierRows) record(s *scenario) {
 	s.t.Helper()
 	list, _, err := s.db.Table().List(s.t.Context(), tenure.Prefix)
 	if err != nil {
@@ -31,8 +31,8 @@
 	}
 }
 
-// write has a write of an era before carried out over whatever a row holds now.
-func (p past) write(s *story, r *rand.Rand) {
+// writeLate applies a write of an earlier era over whatever a row holds now.
+func (p earlierRows) writeLate(s *scenario, r *rand.Rand) {
 	s.t.Helper()
 	keys := slices.Sorted(maps.Keys(p))
 	if len(keys) == 0 {
@@ -49,20 +49,20 @@
 	}
 }
 
-// Writes of the eras before are carried out over claims and sessions of this one, where their numbers were given out again, while hosts lose answers and
-// the store comes back from copies again and again.
-func TestWritesOfErasBeforeTakeNoEngine(t *testing.T) {
-	for seed := range *stories {
+// Writes of earlier eras are applied over current claims and sessions, whose revisions were issued before, while answers get lost and the
+// store is restored again and again.
+func TestLateWritesOfEarlierErasTakeNoEngine(t *testing.T) {
+	for seed := range *scenarioCount {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			tell(t, func(s *story) {
-				r, before := rand.New(rand.NewPCG(seed, 2)), past{}
+			runScenario(t, func(s *scenario) {
+				r, before := rand.New(rand.NewPCG(seed, 2)), earlierRows{}
 				for range 30 {
-					before.note(s)
-					s.happen(r)
-					s.comeBack(time.Duration(r.IntN(300))*time.Millisecond, time.Duration(r.IntN(10000))*time.Millisecond)
+					before.record(s)
+					s.injectFault(r)
+					s.restoreStore(time.Duration(r.IntN(300))*time.Millisecond, time.Duration(r.IntN(10000))*time.Millisecond)
 					for range r.IntN(6) {
-						s.pass(time.Duration(r.IntN(2000)) * time.Millisecond)
-						before.write(s, r)
+						s.elapse(time.Duration(r.IntN(2000)) * time.Millisecond)
+						before.writeLate(s, r)
 					}
 				}
 				s.wantSettled()
