--- a/internal/tenure/slow_test.go
+++ b/internal/tenure/overload_test.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// txTakes and callTakes are how long the store takes for a transaction and for another call at its usual speed.
-	txTakes, callTakes = 3 * time.Millisecond, 4 * time.Millisecond
-	// mostWaiting is how much time of transactions may wait; what comes beyond that is refused.
-	mostWaiting = time.Second
+	// txDuration and callDuration are how long the store takes for a transaction and for another call at its usual speed.
+	txDuration, callDuration = 3 * time.Millisecond, 4 * time.Millisecond
+	// maxQueued is how much work of transactions may be queued; the store rejects more.
+	maxQueued = time.Second
 )
 
-// queue is the store's, which does one transaction after the other.
+// queue is that of a store that runs one transaction after the other.
 type queue struct {
-	mu     sync.Mutex
-	luck   *rand.Rand
-	slower time.Duration // by how many times the store is slower now
-	refuse float64       // share of calls that it refuses now
-	free   time.Time     // when all that waits is done
-	calls  int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	slowdown    time.Duration // factor by which the store is slower now
+	refuseShare float64       // share of calls that it rejects now
+	idleAt      time.Time     // when all queued transactions are done
+	calls       int
 }
 
-// harm changes how the store does.
-func (q *queue) harm(slower time.Duration, refuse float64) {
+// degrade sets the store's slowdown and its share of rejected calls.
+func (q *queue) degrade(slower time.Duration, refuse float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.slower, q.refuse = slower, refuse
+	q.slowdown, q.refuseShare = slower, refuse
 }
 
-// counted returns how many calls came since the last time.
-func (q *queue) counted() int {
+// takeCalls returns how many calls came since it was last called.
+func (q *queue) takeCalls() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	calls := q.calls
@@ -46,26 +46,26 @@
 	return calls
 }
 
-// enter returns how long a call takes; false means that the store refuses it.
-func (q *queue) enter(tx bool) (takes time.Duration, ok bool) {
+// admit returns how long a call takes; false means that the store rejects it.
+func (q *queue) admit(tx bool) (takes time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.calls++
 	now := time.Now()
 	switch {
-	case q.luck.Float64() < q.refuse || tx && q.free.Sub(now) > mostWaiting:
+	case q.rng.Float64() < q.refuseShare || tx && q.idleAt.Sub(now) > maxQueued:
 		return 0, false
 	case !tx:
-		return q.slower * callTakes, true
-	case q.free.Before(now):
-		q.free = now
+		return q.slowdown * callDuration, true
+	case q.idleAt.Before(now):
+		q.idleAt = now
 	}
-	q.free = q.free.Add(q.slower * txTakes)
-	return q.free.Sub(now), true
+	q.idleAt = q.idleAt.Add(q.slowdown * txDuration)
+	return q.idleAt.Sub(now), true
 }
 
-// wait waits for an answer; what the store has taken it does, whether anybody still waits or not.
-func wait[T any](ctx context.Context, takes time.Duration, do func() T, lost T) T {
+// await waits for an answer; a call that the store has accepted is carried out even if nobody waits any more.
+func await[T any](ctx context.Context, takes time.Duration, do func() T, lost T) T {
 	done := make(chan T, 1)
 	go func() {
 		time.Sleep(takes)
@@ -79,7 +79,7 @@
 	}
 }
 
-// answer is what a call brings.
+// answer holds the results of a call.
 type answer struct {
 	row  rows.Row
 	list []rows.Row
@@ -88,14 +88,14 @@
 	err  error
 }
 
-// behind returns the store behind the queue.
-func (q *queue) behind(t table.Table) table.Table {
+// wrap returns the store behind the queue.
+func (q *queue) wrap(t table.Table) table.Table {
 	call := func(ctx context.Context, tx bool, do func() answer) answer {
-		takes, ok := q.enter(tx)
+		takes, ok := q.admit(tx)
 		if !ok {
 			return answer{err: table.ErrDown}
 		}
-		return wait(ctx, takes, do, answer{err: table.ErrLost})
+		return await(ctx, takes, do, answer{err: table.ErrLost})
 	}
 	late := context.Background()
 	return table.Table{
@@ -122,9 +122,8 @@
 	}
 }
 
-// A store that does one transaction after the other turns slow, or refuses a part of all calls, for longer than a lease. It still answers, though not as
-// often as hosts would renew. Were they to try the more the less they get, the leases of all would end in the same second, and no engine
-// would get a load until they are back.
+// The store gets slow, or rejects part of all calls, for longer than a lease. If hosts tried more often the less they get, all leases would
+// end in the same second, and no engine would get a load until they are renewed.
 func TestLeasesOutlastASlowStore(t *testing.T) {
 	const hosts, perHost = 17, 6
 	for name, c := range map[string]struct {
@@ -142,36 +141,36 @@
 					for n := range hosts * perHost {
 						engines = append(engines, fmt.Sprint("e", n))
 					}
-					s, q := newSite(t, engines...), &queue{luck: rand.New(rand.NewPCG(seed, 41)), slower: 1}
-					s.relaxed.Store(true)
+					s, q := newSite(t, engines...), &queue{rng: rand.New(rand.NewPCG(seed, 41)), slowdown: 1}
+					s.readDelegated.Store(true)
 					var list []*host
 					for n := range hosts {
-						list = append(list, s.started(fmt.Sprint("10.0.0.", n+1), func(h *host) {
-							h.Table = q.behind(h.Table)
+						list = append(list, s.startHostWith(fmt.Sprint("10.0.0.", n+1), func(h *host) {
+							h.Table = q.wrap(h.Table)
 							h.Store = h.Table
-							h.Relaxed = func() bool { return n > 0 }
+							h.ReadDelegated = func() bool { return n > 0 }
 						}))
 					}
 					time.Sleep(20*time.Second + time.Duration(seed)*600*time.Millisecond)
-					q.counted()
+					q.takeCalls()
 					time.Sleep(c.lasts)
-					usual := q.counted()
-					q.harm(c.slower, c.refuse)
+					usual := q.takeCalls()
+					q.degrade(c.slower, c.refuse)
 					worst := hosts * perHost
 					for range int(c.lasts / (100 * time.Millisecond)) {
 						time.Sleep(100 * time.Millisecond)
 						ordered := 0
 						for _, h := range list {
-							ordered += len(h.Mine())
+							ordered += len(h.OwnedEngines())
 						}
 						worst = min(worst, ordered)
 					}
-					calls := q.counted()
-					q.harm(1, 0)
+					calls := q.takeCalls()
+					q.degrade(1, 0)
 					for _, h := range list {
 						h.cancel()
 					}
-					time.Sleep(2 * mostWaiting) // in which calls end
+					time.Sleep(2 * maxQueued) // lets pending calls end
 					t.Logf("%d calls, %d before; %d engines ordered at the least", calls, usual, worst)
 					if worst < hosts*perHost {
 						t.Errorf("%d of %d engines were ordered at the least, want all", worst, hosts*perHost)
--- a/internal/tenure/back_test.go
+++ b/internal/tenure/reader_test.go
@@ -9,23 +9,23 @@
 	"time"
 
 	"damaskreach/internal/rows"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
-// passing is what one host has read, as another one that lets it read knows it.
-type passing struct {
+// relayedRows is what one host has read, as another host that does not read the store receives it.
+type relayedRows struct {
 	mu   sync.Mutex
 	list []rows.Row
 	rev  int64
 }
 
-func (p *passing) keep(_ string, _, rev int64, list []rows.Row) {
+func (p *relayedRows) add(_ string, _, rev int64, list []rows.Row) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list, p.rev = append(p.list, list...), max(p.rev, rev)
 }
 
-func (p *passing) tail(_ context.Context, _ string, after int64) ([]rows.Row, int64, error) {
+func (p *relayedRows) tail(_ context.Context, _ string, after int64) ([]rows.Row, int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []rows.Row
@@ -37,15 +37,14 @@
 	return list, max(after, p.rev), nil
 }
 
-// A host was cut off until another one ended its session. It comes back, begins a new one, and reads the store for the others from then on.
-// They must hear of its new session before they hear which engines it takes, or they take those for engines without a host, and two hosts give
-// one engine orders.
-func TestReaderThatComesBackTellsOfItsSession(t *testing.T) {
+// A host was cut off until another one ended its session; it begins a new one and reads the store for the others. If they learn of its
+// claims before its session, they take its engines for unowned, and two hosts order one engine.
+func TestReaderPublishesNewSessionBeforeClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, "e0")
-		engines12 := engines(12)
-		var news passing
-		var relaxed, many, hears atomic.Bool // b lets a read; there are more engines; b has heard of them
+		engines12 := engineIDs(12)
+		var news relayedRows
+		var relaxed, many, hears atomic.Bool // b does not read the store; there are more engines; b knows of them
 		of := func(more func() bool) func() map[string]string {
 			few, all := newSite(t, "e0").engines, newSite(t, engines12...).engines
 			return func() map[string]string {
@@ -55,10 +54,10 @@
 				return few
 			}
 		}
-		a := s.started("10.0.0.1", func(h *host) { h.Keep, h.Engines = news.keep, of(many.Load) })
-		b := s.started("10.0.0.2", func(h *host) {
+		a := s.startHostWith("10.0.0.1", func(h *host) { h.Publish, h.Engines = news.add, of(many.Load) })
+		b := s.startHostWith("10.0.0.2", func(h *host) {
 			own := h.Table.Tail
-			h.Relaxed, h.Engines = relaxed.Load, of(hears.Load)
+			h.ReadDelegated, h.Engines = relaxed.Load, of(hears.Load)
 			h.Table.Tail = func(ctx context.Context, prefix string, after int64) ([]rows.Row, int64, error) {
 				if relaxed.Load() {
 					return news.tail(ctx, prefix, after)
@@ -81,13 +80,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() {
-			for range turns.Every(ctx, 100*time.Millisecond) {
-				b.Wake(a.Mark())
+			for range ticker.Every(ctx, 100*time.Millisecond) {
+				b.NotifyNewer(a.NewestRev())
 			}
 		}()
 		s.watch(10*time.Second, a, b)
-		if len(a.Mine()) == 0 || len(b.Mine()) == 0 {
-			t.Errorf("engines of the two hosts = %d and %d, want some each", len(a.Mine()), len(b.Mine()))
+		if len(a.OwnedEngines()) == 0 || len(b.OwnedEngines()) == 0 {
+			t.Errorf("engines of the two hosts = %d and %d, want some each", len(a.OwnedEngines()), len(b.OwnedEngines()))
 		}
 	})
 }
--- a/internal/tenure/renew.go
+++ b/internal/tenure/renew.go
@@ -12,70 +12,70 @@
 	"damaskreach/internal/table"
 )
 
-// renew writes this host's row and returns when to do so next.
+// renew writes this host's session row and returns the time to the next renewal.
 func (t *Tenure) renew(ctx context.Context) time.Duration {
 	t.mu.Lock()
 	known, era := t.hosts[t.IP], t.era
-	passive := t.young() || !t.holder()
-	epoch, begins := t.epochFor(known)
+	passive := t.siteStarting() || !t.shouldOwn()
+	epoch, begins := t.sessionEpoch(known)
 	now := t.Clock()
-	checks := t.checks(begins)
-	calm, early := t.settledEra(now), begins && t.epoch > 0 && !known.Ended && now-t.sent < t.wait()
+	checks := t.renewalChecks(begins)
+	settled, early := t.checkEraSettled(now), begins && t.epoch > 0 && !known.Ended && now-t.lastRenewal < t.takeoverWait()
 	t.mu.Unlock()
 	if early {
-		// Nobody has ended the session before this one, so nobody has waited for its lease: others would take its engines at once.
-		return firstEvery
+		// Nobody has ended the previous session, so nobody has waited for its lease: others would take its engines at once.
+		return shortInterval
 	}
-	if passive && known.Passive && !known.Ended && known.Start == t.start {
-		// Once it knows of more engines, or fewer hosts, it may be one of those that give orders.
-		return firstEvery
+	if passive && known.Passive && !known.Ended && known.StartID == t.startID {
+		// With more engines or fewer hosts, this host may become an owner.
+		return shortInterval
 	}
 	sent := t.Clock()
 	s := session{
-		IP: t.IP, Peers: t.Peers, Callers: t.Callers, Centre: t.Centre, Power: t.Power, Start: t.start, Epoch: epoch,
-		Passive: passive, Calm: calm, Rates: t.Measured(),
+		IP: t.IP, PeerAddr: t.PeerAddr, CallerAddr: t.CallerAddr, Centre: t.Centre, Cores: t.Cores, StartID: t.startID, Epoch: epoch,
+		Passive: passive, EraSettled: settled, Rates: t.LocalRates(),
 	}
-	edits := append([]rows.Row{{Key: hostPrefix + t.IP, Value: encode(s), Rev: known.rev}}, t.Beside()...)
-	room := min(len(checks), max(0, mostEntries-1-len(edits)))
+	edits := append([]rows.Row{{Key: hostPrefix + t.IP, Value: encode(s), Rev: known.rev}}, t.ExtraRows()...)
+	room := min(len(checks), max(0, maxTxEntries-1-len(edits)))
 	edits = append(edits, checks[:room]...)
 	rev, err := t.writeRenewal(ctx, known.rev, s.Epoch, sent, checks[:room], edits)
 	if err != nil {
 		t.Stats.Add(stats.Renewals, 1, "outcome", "failed")
-		t.renewFailed(ctx, err)
-		return t.again()
+		t.resolveFailedRenewal(ctx, err)
+		return t.retryDelay()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now, _ := rows.Era(rev); now != era {
-		// It expected a revision that was given out again; what it wrote names a session of the era before.
+		// The expected revision was issued again in a new era; the row written names a session of the era before.
 		t.Stats.Add(stats.Renewals, 1, "outcome", "failed")
-		t.enter(now, t.Clock())
-		return firstEvery
+		t.enterEra(now, t.Clock())
+		return shortInterval
 	}
 	t.Stats.Add(stats.Renewals, 1, "outcome", "ok")
-	if begins || !t.renewed && !passive {
-		// Engines may have been taken over meanwhile. What is believed of them is as of a reading before this renewal. No claim names a session that
-		// has just begun, and a new one replaces the row that it was made from.
-		t.unsure, t.starts = !begins, begins && !passive
-		t.Log.Info("session begun", zap.String("host", t.IP), zap.String("start", t.start), zap.Int64("revision", rev))
+	if begins || !t.hasSession && !passive {
+		// Engines may have been taken over meanwhile, and known rows are older than this renewal. Not so for a session that has just begun: it
+		// has no claims yet, and each new claim expects the revision of the row that it replaces.
+		t.ownersStale, t.sessionBegan = !begins, begins && !passive
+		t.Log.Info("session begun", zap.String("host", t.IP), zap.String("start", t.startID), zap.Int64("revision", rev))
 	}
 	if known.session != s.withRates(known.Rates) {
-		t.untold = true
-		t.mark = max(t.mark, rev)
+		t.sessionUnpublished = true
+		t.newestRev = max(t.newestRev, rev)
 	}
-	t.renewed = !passive
+	t.hasSession = !passive
 	t.epoch = s.Epoch
-	t.sent = sent
+	t.lastRenewal = sent
 	for _, row := range checks[:room] {
-		t.checked(row.Key, sent)
+		t.markChecked(row.Key, sent)
 	}
-	t.hosts[t.IP] = seen{session: s, rev: rev, since: sent}
-	t.tried = tried{}
-	t.pace.served(t.Clock() - sent)
-	if t.unsure || t.starts || passive {
-		return firstEvery
+	t.hosts[t.IP] = hostRow{session: s, rev: rev, seenAt: sent}
+	t.unconfirmed = unconfirmedRenewals{}
+	t.pace.succeeded(t.Clock() - sent)
+	if t.ownersStale || t.sessionBegan || passive {
+		return shortInterval
 	}
-	return renewIn(t.pace.pause(), room, len(checks))
+	return renewDelay(t.pace.delay(), room, len(checks))
 }
 
 // writeRenewal writes a renewal that replaces a revision of this host's row.
@@ -83,41 +83,41 @@
 	ctx context.Context, rev, epoch int64, sent time.Duration, checks, edits []rows.Row,
 ) (int64, error) {
 	t.mu.Lock()
-	left := t.left()
-	t.try(rev, epoch, sent, checks)
+	left := t.sessionLeft()
+	t.noteRenewal(rev, epoch, sent, checks)
 	t.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, callTime(left))
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout(left))
 	defer cancel()
 	return t.Table.Write(ctx, edits...)
 }
 
-// again returns how long to wait after a renewal that failed.
-func (t *Tenure) again() time.Duration {
+// retryDelay returns how long to wait after a failed renewal.
+func (t *Tenure) retryDelay() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pace.refused(t.left())
+	return t.pace.failed(t.sessionLeft())
 }
 
-// epochFor returns the epoch of the session that this host's next renewal names, and whether that begins it.
-func (t *Tenure) epochFor(known seen) (epoch int64, begins bool) {
-	if t.void(known) && t.epoch > 0 && t.left() > 0 {
-		// A write of the era before has come late. Others can end this session only in the row that the renewal replaces.
+// sessionEpoch returns the epoch that this host's next renewal names, and whether that begins a session.
+func (t *Tenure) sessionEpoch(known hostRow) (epoch int64, begins bool) {
+	if t.sessionVoid(known) && t.epoch > 0 && t.sessionLeft() > 0 {
+		// A late write of the era before has replaced the row. Others can end this session only in the row that the renewal replaces.
 		return t.epoch, false
 	}
-	if t.void(known) || known.Ended {
-		return t.next(known.rev), true
+	if t.sessionVoid(known) || known.Ended {
+		return t.nextToken(known.rev), true
 	}
 	return known.Epoch, false
 }
 
-// renewFailed finds out how the row stands where the failure leaves that open. An answer that was lost may belong to a
-// renewal that took effect; its revision is not known then, and the next renewal would fail against it.
-func (t *Tenure) renewFailed(ctx context.Context, cause error) {
-	t.Log.Info("session not renewed", zap.String("host", t.IP), zap.Duration("left", t.Left()), zap.Error(cause))
+// resolveFailedRenewal reads the row where a failure leaves its state open. A renewal whose answer was lost may have been applied; its
+// revision is then unknown, and the next renewal would conflict with it.
+func (t *Tenure) resolveFailedRenewal(ctx context.Context, cause error) {
+	t.Log.Info("session not renewed", zap.String("host", t.IP), zap.Duration("left", t.LeaseLeft()), zap.Error(cause))
 	if errors.Is(cause, table.ErrDown) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	row, err := t.Table.Read(ctx, hostPrefix+t.IP)
 	if err != nil && !errors.Is(err, table.ErrAbsent) {
@@ -127,41 +127,41 @@
 	defer t.mu.Unlock()
 	t.Log.Info("session as the store has it", zap.Int64("revision", row.Rev), zap.Int64("expected", t.hosts[t.IP].rev))
 	if err != nil {
-		// The next reading tells whether the store came back without the row.
-		t.doubt = true
+		// The next read tells whether the store was restored without the row.
+		t.rowsDoubtful = true
 		return
 	}
 	if era, _ := rows.Era(row.Rev); era > t.era {
-		t.enter(era, t.Clock())
+		t.enterEra(era, t.Clock())
 		return
 	}
-	t.doubt = t.doubt || errors.Is(cause, table.ErrConflict) && row.Rev == t.hosts[t.IP].rev
-	t.settle(row)
-	t.takeHost(t.IP, row, t.Clock())
-	if t.hosts[t.IP].Start != t.start {
-		t.renewed = false
+	t.rowsDoubtful = t.rowsDoubtful || errors.Is(cause, table.ErrConflict) && row.Rev == t.hosts[t.IP].rev
+	t.confirmRenewal(row)
+	t.applyHost(t.IP, row, t.Clock())
+	if t.hosts[t.IP].StartID != t.startID {
+		t.hasSession = false
 	}
 }
 
-// Left returns how much of the lease is left; it is negative once it has ended.
-func (t *Tenure) Left() time.Duration {
+// LeaseLeft returns how much of the lease is left; it is negative once the lease has ended.
+func (t *Tenure) LeaseLeft() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.left(), t.keptLeft())
+	return max(t.sessionLeft(), t.carriedLeft())
 }
 
-func (t *Tenure) left() time.Duration {
-	if !t.renewed {
+func (t *Tenure) sessionLeft() time.Duration {
+	if !t.hasSession {
 		return -Lease
 	}
-	return t.sent + Lease - t.Clock()
+	return t.lastRenewal + Lease - t.Clock()
 }
 
-// started reports once whether this host's session has just begun.
-func (t *Tenure) started() bool {
+// takeSessionBegan reports, once, whether this host's session has just begun.
+func (t *Tenure) takeSessionBegan() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	started := t.starts
-	t.starts = false
-	return started
+	began := t.sessionBegan
+	t.sessionBegan = false
+	return began
 }
--- a/internal/tenure/row.go
+++ b/internal/tenure/row.go
@@ -9,35 +9,35 @@
 	"damaskreach/internal/rates"
 )
 
-// Prefix is the prefix of all rows that hosts keep in the store. They lie together so that one reading finds all changes.
+// Prefix is the prefix of all rows that hosts keep in the store; one read under it finds all changes.
 const Prefix = "fleet/"
 
 const (
 	hostPrefix = Prefix + "host:"
 	ownPrefix  = Prefix + "own:"
-	// keyRow holds the secret by which hosts know each other.
+	// keyRow holds the secret by which hosts authenticate each other.
 	keyRow = Prefix + "secret"
 )
 
-// session is the row of one host. Its revision changes with each renewal, which is all that others look at.
+// session is the row of one host. Each renewal changes its revision, by which others tell that the host is alive.
 type session struct {
-	IP      string  `msgpack:"ip"`
-	Peers   string  `msgpack:"peers"`   // address for other hosts
-	Callers string  `msgpack:"callers"` // address for callers
-	Centre  string  `msgpack:"centre"`
-	Power   float64 `msgpack:"power"`   // cores that it may use
-	Start   string  `msgpack:"start"`   // tells one start of the program from another
-	Epoch   int64   `msgpack:"epoch"`   // tells one session from the next, and rises; an engine's row names the one it belongs to
-	Passive bool    `msgpack:"passive"` // it gives no orders and does not renew the row
-	Ended   bool    `msgpack:"ended"`   // others have seen it lapse; it holds nothing any more
-	Calm    bool    `msgpack:"calm"`    // no lease of an earlier era of the store was left when it was written
-	// Rates is what the host has measured, for those that start later.
+	IP         string  `msgpack:"ip"`
+	PeerAddr   string  `msgpack:"peers"`   // address for other hosts
+	CallerAddr string  `msgpack:"callers"` // address for callers
+	Centre     string  `msgpack:"centre"`
+	Cores      float64 `msgpack:"power"`   // cores that its process may use
+	StartID    string  `msgpack:"start"`   // identifies the process
+	Epoch      int64   `msgpack:"epoch"`   // identifies the session, and rises; an engine's row names the one it belongs to
+	Passive    bool    `msgpack:"passive"` // the host sends no orders and does not renew the row
+	Ended      bool    `msgpack:"ended"`   // others have seen the session lapse; it owns nothing any more
+	EraSettled bool    `msgpack:"calm"`    // no lease of an earlier era of the store could be in force when this was written
+	// Rates is what the host has measured, for hosts that start later.
 	Rates rates.Rates `msgpack:"rates"`
 }
 
-// mate returns what others need to know of the host.
+// mate returns what other hosts need to know of the host.
 func (s session) mate() mate.Mate {
-	return mate.Mate{IP: s.IP, Peers: s.Peers, Callers: s.Callers, Centre: s.Centre, Power: s.Power}
+	return mate.Mate{IP: s.IP, Peers: s.PeerAddr, Callers: s.CallerAddr, Centre: s.Centre, Power: s.Cores}
 }
 
 // withRates returns a copy with other measurements.
@@ -46,15 +46,15 @@
 	return s
 }
 
-// ownership is the row of one engine: which host gives it its orders.
+// ownership is the row of one engine and names its owner.
 type ownership struct {
 	IP    string `msgpack:"ip"`
 	Epoch int64  `msgpack:"epoch"` // of the host's session
 	Fence int64  `msgpack:"fence"`
-	// Freed is the start of the program that has given the engine up; empty while it is held.
-	Freed string `msgpack:"freed,omitempty"`
-	// Idle is how long it had given no order by then.
-	Idle time.Duration `msgpack:"idle,omitempty"`
+	// ReleasedBy is the StartID of the process that released the engine; empty while it is held.
+	ReleasedBy string `msgpack:"freed,omitempty"`
+	// IdleFor is how long the engine had been sent no order by then.
+	IdleFor time.Duration `msgpack:"idle,omitempty"`
 }
 
 func encode(v any) []byte {
--- a/internal/tenure/share.go
+++ b/internal/tenure/share.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// growing reports whether this host has just learned of more engines and none has a host yet.
-func (t *Tenure) growing(now time.Duration, engines int) bool {
-	if len(t.own) > 0 {
+// discovering reports whether no engine has an owner yet and this host has just learned of more engines.
+func (t *Tenure) discovering(now time.Duration, engines int) bool {
+	if len(t.owners) > 0 {
 		return false
 	}
-	if engines > t.known {
-		t.known, t.knownAt = engines, now
+	if engines > t.maxEnginesSeen {
+		t.maxEnginesSeen, t.maxEnginesAt = engines, now
 	}
-	return now-t.knownAt < settleFor
+	return now-t.maxEnginesAt < settleDelay
 }
 
-// share returns how many engines a host takes before others do: up to twice the mean. The weight store's full speed is
-// shared by hosts, not by engines; a host with a third of all engines would load to one after the other while others idle.
-func (t *Tenure) share(engines int) int {
+// maxShare returns how many engines a host claims before others do: up to twice the mean. Hosts, not engines, share the bandwidth of
+// the weight store: a host with a third of all engines would load to one after the other while other hosts had nothing to load.
+func (t *Tenure) maxShare(engines int) int {
 	active := 0
 	for ip, h := range t.hosts {
-		if !h.Ended && !h.Passive && (ip == t.IP || t.able(ip)) {
+		if !h.Ended && !h.Passive && (ip == t.IP || t.peerReaches(ip)) {
 			active++
 		}
 	}
 	return 2*engines/max(1, active) + 1
 }
 
-// holdings returns how many engines each host holds.
-func (t *Tenure) holdings() map[string]int {
+// claimCounts returns how many engines each host holds.
+func (t *Tenure) claimCounts() map[string]int {
 	held := map[string]int{}
-	for _, o := range t.own {
-		if t.lasts(o) {
+	for _, o := range t.owners {
+		if t.isOwned(o) {
 			held[o.IP]++
 		}
 	}
--- a/internal/tenure/site_test.go
+++ b/internal/tenure/site_test.go
@@ -18,43 +18,43 @@
 	"damaskreach/internal/tenure"
 )
 
-const turn = 3 * time.Second
+const orderGap = 3 * time.Second
 
-// host is one host with its way to the store, its clock and the orders it believes it may give.
+// host is one host with its access to the store, its clock and the orders that it may send.
 type host struct {
 	*tenure.Tenure
 	mu     sync.Mutex
 	cut    bool
 	lossy  bool // every second answer to a write is lost
-	late   bool // writes reach the store seconds after their callers have given up
-	blind  bool // readings get no answer
+	late   bool // writes are applied seconds after their callers have given up
+	blind  bool // reads get no answer
 	writes int
-	orders map[string]time.Duration // when it could last give each engine an order
-	frozen chan struct{}            // closed when the host goes on
+	orders map[string]time.Duration // when it could last send each engine an order
+	frozen chan struct{}            // closed when the host resumes
 	cancel context.CancelFunc
 }
 
 // site is some hosts and engines around one store.
 type site struct {
-	t        *testing.T
-	db       *rowdb.DB
-	begun    time.Time
-	adding   sync.Mutex // for engines that register while hosts run
-	engines  map[string]string
-	unknown  time.Duration // how long after the start hosts learn of the engines
-	measured rates.Rates   // by each host
-	deaf     atomic.Bool   // no host hears another one
-	relaxed  atomic.Bool   // another host reads the rows for all
-	patience time.Duration // for which a host that starts waits for others to tell it all rows
-	teller   *host         // that tells them; nil where none does
+	t             *testing.T
+	db            *rowdb.DB
+	begun         time.Time
+	enginesMu     sync.Mutex // guards engines, which register while hosts run
+	engines       map[string]string
+	engineDelay   time.Duration // how long after the start hosts learn of the engines
+	measured      rates.Rates   // by each host
+	hostsSilent   atomic.Bool   // no host reaches another one
+	readDelegated atomic.Bool   // another host reads the rows for all
+	peerTimeout   time.Duration // how long a starting host waits for another one to list all rows
+	rowsPeer      *host         // host that lists the rows; nil where none does
 }
 
-// others asks the host that tells all rows.
-func (s *site) others(context.Context, string) (list []rows.Row, rev int64, ok bool) {
-	if s.teller == nil {
+// listFromPeer lists the rows that rowsPeer knows.
+func (s *site) listFromPeer(context.Context, string) (list []rows.Row, rev int64, ok bool) {
+	if s.rowsPeer == nil {
 		return nil, 0, false
 	}
-	list, rev = s.teller.Rows()
+	list, rev = s.rowsPeer.Rows()
 	return list, rev, rev > 0
 }
 
@@ -66,32 +66,35 @@
 	return s
 }
 
-// known returns the engines that hosts know of now.
-func (s *site) known() map[string]string {
-	if time.Since(s.begun) < s.unknown {
+// knownEngines returns the engines that hosts know of now.
+func (s *site) knownEngines() map[string]string {
+	if time.Since(s.begun) < s.engineDelay {
 		return nil
 	}
-	s.adding.Lock()
-	defer s.adding.Unlock()
+	s.enginesMu.Lock()
+	defer s.enginesMu.Unlock()
 	return maps.Clone(s.engines)
 }
 
-// start starts the program on a host.
-func (s *site) start(ip string) *host {
-	return s.started(ip, func(*host) {})
+// startHost starts the program on a host.
+func (s *site) startHost(ip string) *host {
+	return s.startHostWith(ip, func(*host) {})
 }
 
-// started is start with a host that is changed before.
-func (s *site) started(ip string, change func(h *host)) *host {
+// startHostWith starts the program on a host that change has modified.
+func (s *site) startHostWith(ip string, change func(h *host)) *host {
 	h := &host{}
 	ctx, cancel := context.WithCancel(s.t.Context())
 	h.cancel = cancel
-	way := h.through(s.wire(h, ip))
+	way := h.gated(s.storeAdapter(h, ip))
 	h.Tenure = &tenure.Tenure{
-		Table: way, Store: way, Others: s.others, Patience: func() time.Duration { return s.patience }, IP: ip, Peers: ip + ":1", Callers: ip + ":2", Centre: "dc",
-		Turn: func() time.Duration { return turn }, Clock: func() time.Duration { return time.Since(s.begun) },
-		Engines: s.known, Log: zap.NewNop(), Measured: func() rates.Rates { return s.measured }, Beside: func() []rows.Row { return nil },
-		Live: func(string) bool { return !s.deaf.Load() }, Relaxed: s.relaxed.Load, Pause: func() time.Duration { return 500 * time.Millisecond }, Keep: func(string, int64, int64, []rows.Row) {},
+		Table: way, Store: way, ListFromPeers: s.listFromPeer, PeerTimeout: func() time.Duration { return s.peerTimeout },
+		IP: ip, PeerAddr: ip + ":1", CallerAddr: ip + ":2", Centre: "dc",
+		OrderGap: func() time.Duration { return orderGap }, Clock: func() time.Duration { return time.Since(s.begun) },
+		Engines: s.knownEngines, Log: zap.NewNop(), LocalRates: func() rates.Rates { return s.measured },
+		ExtraRows: func() []rows.Row { return nil },
+		Live:      func(string) bool { return !s.hostsSilent.Load() }, ReadDelegated: s.readDelegated.Load,
+		RetryDelay: func() time.Duration { return 500 * time.Millisecond }, Publish: func(string, int64, int64, []rows.Row) {},
 	}
 	change(h)
 	go h.Run(ctx)
@@ -99,8 +102,8 @@
 	return h
 }
 
-// through holds the host's calls to the store while it is frozen and fails them while it is cut off.
-func (h *host) through(t table.Table) table.Table {
+// gated blocks the host's calls to the store while it is frozen and fails them while it is cut off.
+func (h *host) gated(t table.Table) table.Table {
 	gate := func(ctx context.Context) error {
 		h.mu.Lock()
 		frozen, cut := h.frozen, h.cut
@@ -167,25 +170,25 @@
 	h.cut = cut
 }
 
-// order is the last moment at which a host could give an engine an order.
+// order is the latest time at which a host could send an engine an order.
 type order struct {
 	ip    string
 	fence int64
 	at    time.Time
 }
 
-// watch records for each engine which host may give it orders, every 50 ms, and fails where two hosts may within a turn.
+// watch checks every 50 ms which host may order each engine, and fails where two hosts may within the gap between orders.
 func (s *site) watch(d time.Duration, hosts ...*host) {
 	s.t.Helper()
-	seen := map[string]order{}
+	lastOrders := map[string]order{}
 	for range int(d / (50 * time.Millisecond)) {
 		time.Sleep(50 * time.Millisecond)
-		s.look(seen, hosts...)
+		s.checkOrders(lastOrders, hosts...)
 	}
 }
 
-// look records for each engine which host may give it orders now, and fails where another one could within a turn, or with as high a fence.
-func (s *site) look(seen map[string]order, hosts ...*host) {
+// checkOrders records which host may order each engine now, and fails where another one could within the gap, or with as high a fence.
+func (s *site) checkOrders(lastOrders map[string]order, hosts ...*host) {
 	s.t.Helper()
 	for _, h := range hosts {
 		for id := range s.engines {
@@ -193,21 +196,21 @@
 			if !ok {
 				continue
 			}
-			h.ordered(id, time.Since(s.begun))
-			before := seen[id]
-			if before.ip != "" && before.ip != h.IP && time.Since(before.at) < turn {
-				s.t.Errorf("%s orders %s %v after %s, want at least %v", h.IP, id, time.Since(before.at), before.ip, turn)
+			h.noteOrder(id, time.Since(s.begun))
+			before := lastOrders[id]
+			if before.ip != "" && before.ip != h.IP && time.Since(before.at) < orderGap {
+				s.t.Errorf("%s orders %s %v after %s, want at least %v", h.IP, id, time.Since(before.at), before.ip, orderGap)
 			}
 			if fence < before.fence || fence == before.fence && before.ip != h.IP {
 				s.t.Errorf("%s orders %s with fence %d after %s with %d", h.IP, id, fence, before.ip, before.fence)
 			}
-			seen[id] = order{h.IP, fence, time.Now()}
+			lastOrders[id] = order{h.IP, fence, time.Now()}
 		}
 	}
 }
 
-// ordered notes that a host could give an engine an order.
-func (h *host) ordered(id string, at time.Duration) {
+// noteOrder notes that a host could send an engine an order.
+func (h *host) noteOrder(id string, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.orders == nil {
@@ -216,8 +219,8 @@
 	h.orders[id] = at
 }
 
-// last returns when a host could last give an engine an order.
-func (h *host) last(id string) (time.Duration, bool) {
+// lastOrder returns when a host could last send an engine an order.
+func (h *host) lastOrder(id string) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at, ok := h.orders[id]
--- a/internal/turns/turns.go
+++ b/internal/ticker/ticker.go
@@ -1,12 +1,12 @@
-// Package turns repeats work at an interval until a context ends.
-package turns
+// Package ticker repeats work at an interval until a context ends.
+package ticker
 
 import (
 	"context"
 	"time"
 )
 
-// Every returns a sequence to range over that takes a turn each d until ctx ends, the first after d.
+// Every returns a sequence that iterates each d until ctx ends, first after d.
 func Every(ctx context.Context, d time.Duration) func(yield func() bool) {
 	return func(yield func() bool) {
 		timer := time.NewTicker(d)
@@ -24,8 +24,8 @@
 	}
 }
 
-// Now is Every with its first turn at once and a further one whenever wake receives; a nil wake never does.
-func Now(ctx context.Context, d time.Duration, wake <-chan struct{}) func(yield func() bool) {
+// Repeat is Every with an iteration at once, and a further one whenever wake receives; wake may be nil.
+func Repeat(ctx context.Context, d time.Duration, wake <-chan struct{}) func(yield func() bool) {
 	return func(yield func() bool) {
 		timer := time.NewTicker(d)
 		defer timer.Stop()
--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -10,7 +10,7 @@
 	"damaskreach/internal/view"
 )
 
-// A host goes through all engines some times in ten seconds, for those that no host gives their orders.
+// A host lists all engines some times in ten seconds to find unowned ones.
 func BenchmarkEngines(b *testing.B) {
 	for _, engines := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -11,7 +11,7 @@
 
 	"damaskreach/internal/host"
 	"damaskreach/internal/hosts"
-	"damaskreach/internal/turns"
+	"damaskreach/internal/ticker"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // Run reads the list until ctx ends.
 func (w *Watch) Run(ctx context.Context) {
-	for range turns.Now(ctx, every, nil) {
+	for range ticker.Repeat(ctx, every, nil) {
 		w.read(ctx)
 	}
 }
