--- a/internal/admit/homes.go
+++ b/internal/admit/homes.go
@@ -44,7 +44,7 @@
 	if s, ok := h.found[name]; ok {
 		return s, true
 	}
-	id := spread.Pick(h.ids, name)
+	id := spread.OwnerOf(h.ids, name)
 	for _, s := range h.nodes {
 		if s.ID() == id {
 			if len(h.found) >= mostHomes {
--- a/internal/bench/home.go
+++ b/internal/bench/home.go
@@ -22,7 +22,7 @@
 }
 
 func newHome(r *run) *home {
-	return &home{run: r, place: place.NewVariant(r.tune, r.policy)}
+	return &home{run: r, place: place.NewWithPolicy(r.tune, r.policy)}
 }
 
 // dispatch sends the next attempt of a request.
--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -152,7 +152,7 @@
 // loaded ends a load.
 func (o *owner) loaded(model string, failed bool) {
 	s := o.run.store
-	s.grant(s.loads.Done(o.run.Clock(), o.engine.runner.Name, model))
+	s.grant(s.loads.Release(o.run.Clock(), o.engine.runner.Name, model))
 	if failed {
 		o.apply(o.sched.Loaded(o.run.Clock(), model, errLoad))
 		return
@@ -210,7 +210,7 @@
 	d.Number = o.number
 	o.run.After(hop, func() {
 		for _, h := range o.run.homes {
-			h.place.Learn(o.run.Clock(), d)
+			h.place.UpdateDigest(o.run.Clock(), d)
 		}
 	})
 }
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -33,7 +33,7 @@
 	return &store{
 		sim:   s,
 		rand:  rand.New(rand.NewPCG(seed, 42)),
-		loads: loads.NewVariant(storeRate, permitLease, p),
+		loads: loads.NewWithPolicy(storeRate, permitLease, p),
 		speed: 1,
 		fails: usualFails,
 	}
@@ -44,7 +44,7 @@
 	for _, p := range permits {
 		s.start(p)
 	}
-	next := s.loads.Next()
+	next := s.loads.NextGrant()
 	if next.IsZero() {
 		return
 	}
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -1,8 +1,8 @@
-// Package blame remembers requests whose upstreams broke off, to find those that crash whatever runs them.
+// Package blame finds requests that crash their upstreams, by recording which upstreams broke off under which requests.
 //
-// Now and then one request crashes each upstream that runs it, and its caller, or this program, sends it again. Without a
-// memory it takes down one upstream after the other, and every request beside it each time; one would notice upstreams that
-// restart in turn. A request that merely ran beside the cause breaks off too, but seldom at three upstreams.
+// Some requests crash every upstream that runs them, and callers and hosts retry them. Unrecorded, such a request takes down
+// one upstream after the other, with all requests beside it. A request that merely ran beside the cause breaks off too, but
+// seldom at three upstreams.
 package blame
 
 import (
@@ -13,30 +13,30 @@
 )
 
 const (
-	// enough is how many upstreams must have broken off under a request for it to be held back.
-	enough = 3
-	// life is how long a request is remembered from its last break: callers that repeat one do so within minutes.
-	life = 2 * time.Minute
-	// most is how many requests are remembered, some 200 bytes each. A loss of many upstreams breaks thousands at once.
-	most = 20000
-	// mostTold is how many breaks one message holds.
-	mostTold = 200
+	// minUpstreams is the number of upstreams that must have broken off under a request for it to be blocked.
+	minUpstreams = 3
+	// recordTTL is how long a record is kept after the last break: callers retry within minutes.
+	recordTTL = 2 * time.Minute
+	// maxRecords bounds the records, some 200 bytes each. A loss of many upstreams breaks thousands of requests at once.
+	maxRecords = 20000
+	// maxPending is the most breaks in one message.
+	maxPending = 200
 )
 
-// Blame may be used from several goroutines. The zero value remembers nothing.
+// Blame is safe for concurrent use. The zero value is empty.
 type Blame struct {
-	mu    sync.Mutex
-	known map[string]*record
-	fresh []string // breaks seen here that others were not told of yet
+	mu      sync.Mutex
+	records map[string]*record
+	pending []string // own breaks not yet sent to other hosts
 }
 
 type record struct {
-	places map[string]bool // upstreams, each in one incarnation
-	until  time.Time
+	upstreams map[string]bool // incarnations of upstreams
+	expiresAt time.Time
 }
 
-// Print returns what requests that are the same have in common.
-func Print(parts ...string) string {
+// Fingerprint returns a hash of the parts that identify equal requests.
+func Fingerprint(parts ...string) string {
 	sum := sha256.New()
 	for _, p := range parts {
 		sum.Write([]byte(p))
@@ -45,67 +45,67 @@
 	return hex.EncodeToString(sum.Sum(nil)[:12])
 }
 
-// Broke records that an upstream broke off under a request, and returns how many have so far.
-func (b *Blame) Broke(mark, place string, now time.Time) int {
+// RecordBreak records that an upstream broke off under a request, and returns the number of upstreams that did so.
+func (b *Blame) RecordBreak(fingerprint, upstream string, now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.fresh) < mostTold {
-		b.fresh = append(b.fresh, mark+" "+place)
+	if len(b.pending) < maxPending {
+		b.pending = append(b.pending, fingerprint+" "+upstream)
 	}
-	return b.note(mark, place, now)
+	return b.addBreak(fingerprint, upstream, now)
 }
 
-func (b *Blame) note(mark, place string, now time.Time) int {
-	if b.known == nil || len(b.known) >= most {
-		b.known = map[string]*record{}
+func (b *Blame) addBreak(fingerprint, upstream string, now time.Time) int {
+	if b.records == nil || len(b.records) >= maxRecords {
+		b.records = map[string]*record{}
 	}
-	r := b.known[mark]
-	if r == nil || now.After(r.until) {
-		r = &record{places: map[string]bool{}}
-		b.known[mark] = r
+	r := b.records[fingerprint]
+	if r == nil || now.After(r.expiresAt) {
+		r = &record{upstreams: map[string]bool{}}
+		b.records[fingerprint] = r
 	}
-	r.places[place] = true
-	r.until = now.Add(life)
-	return len(r.places)
+	r.upstreams[upstream] = true
+	r.expiresAt = now.Add(recordTTL)
+	return len(r.upstreams)
 }
 
-// Barred reports whether a request is held back.
-func (b *Blame) Barred(mark string, now time.Time) bool {
+// Blocked reports whether a request must not be sent any more.
+func (b *Blame) Blocked(fingerprint string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.known[mark]
-	return r != nil && len(r.places) >= enough && now.Before(r.until)
+	r := b.records[fingerprint]
+	return r != nil && len(r.upstreams) >= minUpstreams && now.Before(r.expiresAt)
 }
 
-// Served forgets a request that was answered whole: it was not the cause.
-func (b *Blame) Served(mark string) {
+// Clear drops the record of a request that was answered completely: it was not the cause.
+func (b *Blame) Clear(fingerprint string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.known, mark)
+	delete(b.records, fingerprint)
 }
 
-// News returns the breaks seen here since the last call.
-func (b *Blame) News() []string {
+// TakePending returns and clears the breaks seen here that were not sent to other hosts yet.
+func (b *Blame) TakePending() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := b.fresh
-	b.fresh = nil
+	list := b.pending
+	b.pending = nil
 	return list
 }
 
-// Hear takes breaks that another host has seen.
-func (b *Blame) Hear(list []string, now time.Time) {
+// AddBreaks records breaks that another host has seen.
+func (b *Blame) AddBreaks(list []string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, text := range list {
-		if mark, place, ok := cut(text); ok {
-			b.note(mark, place, now)
+		if fingerprint, upstream, ok := parseBreak(text); ok {
+			b.addBreak(fingerprint, upstream, now)
 		}
 	}
 }
 
-func cut(text string) (mark, place string, ok bool) {
-	const size = 24 // letters of a mark
+func parseBreak(text string) (fingerprint, upstream string, ok bool) {
+	const size = 24 // length of a fingerprint
 	if len(text) <= size || text[size] != ' ' {
 		return "", "", false
 	}
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -9,57 +9,56 @@
 
 var now = time.Unix(1000, 0)
 
-// A request crashes each upstream that runs it, and its caller sends it to one host after the other. Each host has seen one
-// crash only; together they know of three, and none sends it on any more.
-func TestHostsKnowTogetherOfARequestThatCrashesUpstreams(t *testing.T) {
+// A request crashes each upstream that runs it, and its caller retries it on one host after the other. Each host sees only one
+// crash; together they must block it.
+func TestCrashingRequestIsBlockedOnAllHosts(t *testing.T) {
 	hosts := []*blame.Blame{{}, {}, {}}
-	mark := blame.Print("POST", "/p/x", "body")
+	fingerprint := blame.Fingerprint("POST", "/p/x", "body")
 	for _, h := range hosts {
-		h.News()
+		h.TakePending()
 	}
 	for i, h := range hosts {
-		h.Broke(mark, string(rune('a'+i)), now)
+		h.RecordBreak(fingerprint, string(rune('a'+i)), now)
 		for _, other := range hosts {
 			if other != h {
-				other.Hear([]string{mark + " " + string(rune('a'+i))}, now)
+				other.AddBreaks([]string{fingerprint + " " + string(rune('a'+i))}, now)
 			}
 		}
-		if got, want := len(h.News()), 1; got != want {
-			t.Errorf("breaks to tell = %d, want %d", got, want)
+		if got, want := len(h.TakePending()), 1; got != want {
+			t.Errorf("pending breaks = %d, want %d", got, want)
 		}
 	}
 	for i, h := range hosts {
-		if !h.Barred(mark, now) {
-			t.Errorf("host %d sends the request on, want it held back", i)
+		if !h.Blocked(fingerprint, now) {
+			t.Errorf("host %d does not block the request, want it blocked", i)
 		}
-		if h.Barred(mark, now.Add(time.Hour)) {
-			t.Errorf("host %d holds it back an hour later", i)
+		if h.Blocked(fingerprint, now.Add(time.Hour)) {
+			t.Errorf("host %d still blocks it an hour later", i)
 		}
 	}
 }
 
-// One upstream crashes twice under a request that has nothing to do with it, or tells of the same crash twice. The request
-// is served on.
-func TestBreaksOfOneUpstreamDoNotAddUp(t *testing.T) {
+// One upstream crashes repeatedly under an innocent request, or reports the same crash twice. The request must be served on.
+func TestBreaksOfOneUpstreamCountOnce(t *testing.T) {
 	var b blame.Blame
-	mark := blame.Print("x")
+	fingerprint := blame.Fingerprint("x")
 	for range 5 {
-		b.Broke(mark, "a", now)
+		b.RecordBreak(fingerprint, "a", now)
 	}
-	if b.Barred(mark, now) {
-		t.Error("held back after breaks of one upstream, want it served")
+	if b.Blocked(fingerprint, now) {
+		t.Error("blocked after breaks of one upstream, want it served")
 	}
 }
 
-// A request that broke off twice beside the cause is then served whole. It starts anew.
-func TestWholeAnswerClearsARequest(t *testing.T) {
+// A request that broke off twice beside the cause is then served completely. Its record must be cleared.
+func TestCompleteAnswerClearsRequest(t *testing.T) {
 	var b blame.Blame
-	mark := blame.Print("x")
-	b.Broke(mark, "a", now)
-	b.Broke(mark, "b", now)
-	b.Served(mark)
-	b.Broke(mark, "c", now)
-	if b.Barred(mark, now) {
-		t.Error("held back, want the earlier breaks forgotten")
+	fingerprint := blame.Fingerprint("x")
+	b.RecordBreak(fingerprint, "a", now)
+	b.RecordBreak(fingerprint, "b", now)
+	b.Clear(fingerprint)
+	b.RecordBreak(fingerprint, "c", now)
+	if b.Blocked(fingerprint, now) {
+		t.Error("blocked, want the earlier breaks cleared")
 	}
 }
--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -1,4 +1,4 @@
-// Package bucket holds one token bucket: a limit in units a second with units for bursts.
+// Package bucket implements a token bucket to which unused units can be returned.
 package bucket
 
 import (
@@ -7,93 +7,94 @@
 )
 
 const (
-	// never is how long it takes where nothing comes back.
-	never = time.Hour
-	// slot and slots say for how long units may be given back, and how exactly it is known how full the bucket was meanwhile.
-	slot  = time.Second
-	slots = 16
+	// maxWait is the longest wait returned, also where the bucket never refills.
+	maxWait = time.Hour
+	// peakInterval and peakCount are the resolution and the number of the recorded peaks; units can be returned for that long.
+	peakInterval = time.Second
+	peakCount    = 16
 )
 
-// Bucket counts what may still be given out. Times are those of a clock that goes on through suspensions. It is used from one goroutine.
+// Bucket is a token bucket. Its times are those of a clock that also advances while the machine is suspended. It is not safe
+// for concurrent use.
 type Bucket struct {
-	rate  float64 // units a second
-	burst float64 // most units at once
-	level float64 // negative after a request that counts more than the burst
-	at    time.Duration
-	begun time.Duration  // of this limit
-	peaks [slots]float64 // highest level in each of the last slots
+	rate       float64 // units a second
+	burst      float64 // most units at once
+	level      float64 // negative after a request larger than the burst
+	filledAt   time.Duration
+	limitSince time.Duration      // start of the current limit
+	peaks      [peakCount]float64 // highest level in each of the last intervals
 }
 
-// NewBucket returns a bucket that was empty at a time: whoever counted before may have given out everything by then.
+// NewBucket returns a bucket that was empty at the given time: a former counter may have given out everything by then.
 func NewBucket(rate, burst float64, empty time.Duration) *Bucket {
-	return &Bucket{rate: rate, burst: burst, at: empty, begun: empty}
+	return &Bucket{rate: rate, burst: burst, filledAt: empty, limitSince: empty}
 }
 
-// Limit sets the limit from a time on.
-func (b *Bucket) Limit(now time.Duration, rate, burst float64) {
-	b.fill(now)
-	b.rate, b.burst, b.begun = rate, burst, now
+// SetLimit changes the rate and burst from now on.
+func (b *Bucket) SetLimit(now time.Duration, rate, burst float64) {
+	b.refill(now)
+	b.rate, b.burst, b.limitSince = rate, burst, now
 	b.level = min(b.level, burst)
 }
 
-// Take takes all units, or none where there are too few, and returns how many it took. With all it takes over as well, whether they are there
-// or not: that is what a request counts beyond the burst of its whole limit, and the next ones wait for it. Wait is how long it will be
-// until the units are there where nobody else takes them.
-func (b *Bucket) Take(now time.Duration, units, over float64) (taken float64, wait time.Duration) {
+// Take takes all units if they are available, else none, and returns the number taken. With them it takes excess, the part of
+// a request beyond the burst of its whole limit, which may make the level negative. If nothing is taken, wait is the time
+// until the units are available.
+func (b *Bucket) Take(now time.Duration, units, excess float64) (taken float64, wait time.Duration) {
 	if wait = b.Wait(now, units); wait > 0 {
 		return 0, wait
 	}
-	b.level -= units + over
-	return units + over, 0
+	b.level -= units + excess
+	return units + excess, 0
 }
 
-// Wait returns how long it will be until so many units are there where nobody takes any.
+// Wait returns the time until the units are available if nobody else takes any.
 func (b *Bucket) Wait(now time.Duration, units float64) time.Duration {
-	b.fill(now)
-	lacks := units - b.level
+	b.refill(now)
+	missing := units - b.level
 	switch {
-	case lacks <= 0:
+	case missing <= 0:
 		return 0
 	case b.rate <= 0:
-		return never
+		return maxWait
 	}
-	return min(never, time.Duration(math.Ceil(lacks/b.rate*float64(time.Second))))
+	return min(maxWait, time.Duration(math.Ceil(missing/b.rate*float64(time.Second))))
 }
 
-// Return gives back units that were taken at a time and not used. As far as the bucket would have been over full with them since, they
-// would be lost by now, and are.
-func (b *Bucket) Return(now time.Duration, units float64, taken time.Duration) {
-	b.fill(now)
-	first, last := int(taken/slot), int(b.at/slot)
-	if taken <= b.begun || last-first >= slots {
+// Return gives back unused units that were taken at takenAt. Units by which the bucket would have overflowed since then are
+// dropped.
+func (b *Bucket) Return(now time.Duration, units float64, takenAt time.Duration) {
+	b.refill(now)
+	first, last := int(takenAt/peakInterval), int(b.filledAt/peakInterval)
+	if takenAt <= b.limitSince || last-first >= peakCount {
 		return
 	}
 	peak := b.level
 	for i := first; i <= last; i++ {
-		peak = max(peak, b.peaks[i%slots])
+		peak = max(peak, b.peaks[i%peakCount])
 	}
 	units = max(0, min(units, b.burst-peak))
 	b.level += units
 	for i := first; i <= last; i++ {
-		b.peaks[i%slots] += units
+		b.peaks[i%peakCount] += units
 	}
 }
 
-// Idle reports whether nothing was taken of it for so long that it is full.
-func (b *Bucket) Idle(now time.Duration) bool {
-	b.fill(now)
+// Full reports whether the bucket has refilled completely.
+func (b *Bucket) Full(now time.Duration) bool {
+	b.refill(now)
 	return b.level >= b.burst
 }
 
-func (b *Bucket) fill(now time.Duration) {
-	if now < b.at {
+func (b *Bucket) refill(now time.Duration) {
+	if now < b.filledAt {
 		return
 	}
-	first, last := int(b.at/slot)+1, int(now/slot)
-	b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
-	b.at = now
-	for i := max(first, last-slots+1); i <= last; i++ {
-		b.peaks[i%slots] = b.level
+	first, last := int(b.filledAt/peakInterval)+1, int(now/peakInterval)
+	b.level = min(b.burst, b.level+b.rate*(now-b.filledAt).Seconds())
+	b.filledAt = now
+	for i := max(first, last-peakCount+1); i <= last; i++ {
+		b.peaks[i%peakCount] = b.level
 	}
-	b.peaks[last%slots] = max(b.peaks[last%slots], b.level)
+	b.peaks[last%peakCount] = max(b.peaks[last%peakCount], b.level)
 }
--- a/internal/bucket/bucket_test.go
+++ b/internal/bucket/bucket_test.go
@@ -17,63 +17,63 @@
 	}
 }
 
-// use is units that were taken, and whether they were given back.
-type use struct {
-	at    time.Duration
-	units float64
-	back  bool
+// usage is a number of units taken at a time, and whether they were returned.
+type usage struct {
+	takenAt  time.Duration
+	units    float64
+	returned bool
 }
 
-// Requests that were counted turn out not to have run, some of them long after. Given back when the bucket was full again in between, their
-// units would be there twice.
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+// Units of requests that did not run are returned, some long after. If the bucket was full in between, they must not be added
+// twice.
+func TestReturnsNeverExceedLimitInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 20).Draw(t, "rate"))
 		burst := float64(rapid.IntRange(1, 40).Draw(t, "burst"))
 		b := bucket.NewBucket(rate, burst, 0)
-		now, list := time.Duration(0), []use{}
+		now, list := time.Duration(0), []usage{}
 		for range 80 {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			units := float64(rapid.IntRange(1, 60).Draw(t, "units"))
-			if i := rapid.IntRange(0, 2*len(list)).Draw(t, "return"); i < len(list) && !list[i].back {
-				list[i].back = true
-				b.Return(now, list[i].units, list[i].at)
+			if i := rapid.IntRange(0, 2*len(list)).Draw(t, "return"); i < len(list) && !list[i].returned {
+				list[i].returned = true
+				b.Return(now, list[i].units, list[i].takenAt)
 			}
 			need := min(units, burst)
 			taken, wait := b.Take(now, need, units-need)
 			if taken < need {
 				now += wait + time.Microsecond
 				if taken, wait = b.Take(now, need, units-need); taken < units {
-					t.Fatalf("refused at the time it was told, %v more to wait", wait)
+					t.Fatalf("refused after the returned wait, %v more to wait", wait)
 				}
 			}
-			list = append(list, use{at: now, units: taken})
+			list = append(list, usage{takenAt: now, units: taken})
 		}
-		wantWithin(t, list, rate, burst)
+		checkWithinLimit(t, list, rate, burst)
 	})
 }
 
-// wantWithin checks each span between two uses: at most the limit, and what the last one may have over the burst.
-func wantWithin(t *rapid.T, list []use, rate, burst float64) {
+// checkWithinLimit checks each span between two usages: at most the limit, plus the last one's excess over the burst.
+func checkWithinLimit(t *rapid.T, list []usage, rate, burst float64) {
 	for i, first := range list {
 		sum := 0.0
 		for _, u := range list[i:] {
-			if u.back {
+			if u.returned {
 				continue
 			}
 			sum += min(u.units, burst)
-			if most := burst + rate*(u.at-first.at).Seconds() + 0.001; sum > most {
-				t.Fatalf("%v units in %v, want at most %v", sum, u.at-first.at, most)
+			if limit := burst + rate*(u.takenAt-first.takenAt).Seconds() + 0.001; sum > limit {
+				t.Fatalf("%v units in %v, want at most %v", sum, u.takenAt-first.takenAt, limit)
 			}
 			sum += u.units - min(u.units, burst)
 		}
 	}
 }
 
-// A limit is lowered far below what the bucket holds. What is left of the old one must not be given out any more.
-func TestLoweredLimitHoldsAtOnce(t *testing.T) {
+// A limit is lowered far below the level. The units of the old limit must not be given out.
+func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	b := bucket.NewBucket(1000, 1000, 0)
-	b.Limit(10*time.Second, 10, 10)
+	b.SetLimit(10*time.Second, 10, 10)
 	if taken, _ := b.Take(10*time.Second, 10, 0); taken != 10 {
 		t.Errorf("took %v of the first 10 units, want all", taken)
 	}
@@ -82,8 +82,8 @@
 	}
 }
 
-// A request counts more than the team may have at once. It is served from a full bucket and the next one waits for it; else it would be
-// refused for ever with a time to come back each time.
+// A request is larger than the burst. It must be served from a full bucket and delay the next one, or it would be refused
+// for ever.
 func TestRequestOverTheBurstIsServed(t *testing.T) {
 	b := bucket.NewBucket(100, 100, 0)
 	if taken, wait := b.Take(0, 100, 250); taken > 0 || wait != time.Second {
@@ -97,8 +97,8 @@
 	}
 }
 
-// A team's limit is zero units a second with some at once. Once they are used up nothing comes back.
-func TestNothingComesBackWithoutARate(t *testing.T) {
+// A limit with a rate of zero never refills once its burst is used up.
+func TestZeroRateNeverRefills(t *testing.T) {
 	b := bucket.NewBucket(0, 5, 0)
 	if taken, wait := b.Take(time.Minute, 1, 0); taken > 0 || wait < time.Minute {
 		t.Errorf("took %v, wait %v, want a long one", taken, wait)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,14 +1,13 @@
 // Package budget bounds retries to a share of the requests.
 //
-// When many requests fail at once, retries without a bound multiply the load just when there is least room for it:
-// one would notice more attempts than callers' requests on every runner. Each request earns a share of a retry,
-// each retry spends a whole one.
+// When many requests fail at once, unbounded retries multiply the load just when there is least capacity, and runners see
+// more attempts than callers' requests. Each request adds a share of a retry to the budget; each retry spends one.
 package budget
 
-// most is how many retries can be saved up, so that a quiet hour does not pay for a storm.
-const most = 20
+// maxSaved is the most retries that can be saved up, so that quiet hours do not pay for a burst of failures.
+const maxSaved = 20
 
-// Budget is what one node may still retry. It is used from one goroutine.
+// Budget is the retry budget of one node. It is not safe for concurrent use.
 type Budget struct {
 	share float64
 	saved float64
@@ -16,21 +15,21 @@
 
 // NewBudget returns a full budget that allows share retries a request in the long run.
 func NewBudget(share float64) *Budget {
-	return &Budget{share: share, saved: most}
+	return &Budget{share: share, saved: maxSaved}
 }
 
-// Tune changes the share.
-func (b *Budget) Tune(share float64) {
+// SetShare changes the share of retries.
+func (b *Budget) SetShare(share float64) {
 	b.share = share
 }
 
-// Request counts a request of a caller.
-func (b *Budget) Request() {
-	b.saved = min(most, b.saved+b.share)
+// AddRequest counts a caller's request.
+func (b *Budget) AddRequest() {
+	b.saved = min(maxSaved, b.saved+b.share)
 }
 
-// Retry reports whether a request may be tried again, and spends it.
-func (b *Budget) Retry() bool {
+// TryRetry reports whether a retry is allowed and, if so, spends it.
+func (b *Budget) TryRetry() bool {
 	if b.saved < 1 {
 		return false
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -6,15 +6,15 @@
 	"damaskreach/internal/budget"
 )
 
-// Every request fails. Each of them retried twice would triple the load of a site that is failing already.
-func TestRetriesStayWithinTheirShare(t *testing.T) {
+// Every request fails. Two retries each would triple the load of a failing site.
+func TestRetriesStayWithinShare(t *testing.T) {
 	const requests, share, saved = 1000, 0.1, 20
 	b := budget.NewBudget(share)
 	retries := 0
 	for range requests {
-		b.Request()
+		b.AddRequest()
 		for range 2 {
-			if b.Retry() {
+			if b.TryRetry() {
 				retries++
 			}
 		}
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,4 +1,4 @@
-// Package decay counts events with a weight that halves every half-life.
+// Package decay implements an exponentially decaying count of events.
 package decay
 
 import (
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Count is a decaying count; the zero value has counted nothing.
+// Count is a decaying count. The zero value is an empty count.
 type Count struct {
-	value float64
-	last  time.Time
+	value     float64
+	updatedAt time.Time
 }
 
-// At returns the count as decayed by now. A half-life of zero or less means no decay.
-func (c *Count) At(now time.Time, half time.Duration) float64 {
-	if c.value == 0 || half <= 0 {
+// At returns the count decayed to now. A half-life of zero or less means no decay.
+func (c *Count) At(now time.Time, halfLife time.Duration) float64 {
+	if c.value == 0 || halfLife <= 0 {
 		return c.value
 	}
-	age := now.Sub(c.last)
-	return c.value * math.Exp2(-float64(age)/float64(half))
+	age := now.Sub(c.updatedAt)
+	return c.value * math.Exp2(-float64(age)/float64(halfLife))
 }
 
 // Add counts one event.
-func (c *Count) Add(now time.Time, half time.Duration) {
-	c.value = c.At(now, half) + 1
-	c.last = now
+func (c *Count) Add(now time.Time, halfLife time.Duration) {
+	c.value = c.At(now, halfLife) + 1
+	c.updatedAt = now
 }
 
-// Raise lifts the count to a value that somebody with a wider view has counted.
-func (c *Count) Raise(now time.Time, half time.Duration, value float64) {
-	c.value = max(c.At(now, half), value)
-	c.last = now
+// Raise raises the count to at least a value counted elsewhere, over more hosts.
+func (c *Count) Raise(now time.Time, halfLife time.Duration, value float64) {
+	c.value = max(c.At(now, halfLife), value)
+	c.updatedAt = now
 }
 
-// PerMinute turns a count into the rate of steady events that would have given it.
-func PerMinute(count float64, half time.Duration) float64 {
-	if half <= 0 {
+// PerMinute returns the rate of evenly spaced events that would give a count.
+func PerMinute(count float64, halfLife time.Duration) float64 {
+	if halfLife <= 0 {
 		return count
 	}
-	return count * math.Ln2 / half.Minutes()
+	return count * math.Ln2 / halfLife.Minutes()
 }
--- a/internal/edge/build.go
+++ b/internal/edge/build.go
@@ -46,17 +46,17 @@
 	e.intake = e.buildIntake()
 	e.tenure = e.buildTenure(s)
 	e.roster = roster.NewRoster(s.IP, e.turnGranter)
-	usual := &speed.Speed{Before: e.tenure.Rates}
+	usual := &speed.Speed{Prior: e.tenure.Rates}
 	e.speeds = speeds.NewSpeeds(usual)
-	e.pick.Slow = e.speeds.Slow
+	e.pick.Slowdown = e.speeds.Slowdown
 	e.tenure.LocalRates, e.tenure.ExtraRows = usual.Rates, e.memoEdits
 	e.jitter = jitter.NewJitter()
 	e.giver = e.buildGiver(s)
-	e.quotas = &quotas.Quotas{Parts: limits.Parts, Held: e.tenure.LimitFence, Clock: e.Clock, Life: strconv.FormatUint(rand.Uint64(), 36)}
+	e.quotas = &quotas.Quotas{Shards: limits.Shards, Held: e.tenure.LimitFence, Clock: e.Clock, Life: strconv.FormatUint(rand.Uint64(), 36)}
 	e.limits = &limits.Limits{Ask: e.charge, Log: e.Log}
 	e.reach = &reach.Reach{Open: e.Dial, Addrs: e.upstreamAddrs, Changed: e.reachabilityChanged, Log: e.Log}
 	e.uplink = e.buildUplink()
-	e.spare = &spare.Spare{Hosts: e.hostCount, Clock: e.Clock, Begun: e.Clock(), Bound: func() (float64, float64, time.Duration) {
+	e.spare = &spare.Spare{Hosts: e.hostCount, Clock: e.Clock, StartedAt: e.Clock(), Bound: func() (float64, float64, time.Duration) {
 		s := e.Setup()
 		return s.Share, s.Extra, s.Window
 	}}
--- a/internal/edge/detour.go
+++ b/internal/edge/detour.go
@@ -81,7 +81,7 @@
 	for ip := range reaching {
 		ips = append(ips, ip)
 	}
-	ips = spread.First(ips, e.Setup().IP, maxDetourHosts)
+	ips = spread.Rank(ips, e.Setup().IP, maxDetourHosts)
 	rand.Shuffle(len(ips), func(i, j int) { ips[i], ips[j] = ips[j], ips[i] })
 	var hosts []mate.Mate
 	for _, ip := range ips[:min(detourAttempts, len(ips))] {
--- a/internal/edge/engines.go
+++ b/internal/edge/engines.go
@@ -17,7 +17,7 @@
 
 // withParts adds the parts of teams' limits: like an engine, each has one owner, but it is in no data centre.
 func withParts(engines map[string]string) map[string]string {
-	for _, part := range limits.Parts() {
+	for _, part := range limits.Shards() {
 		engines[part] = ""
 	}
 	return engines
--- a/internal/edge/fallback.go
+++ b/internal/edge/fallback.go
@@ -58,7 +58,7 @@
 	if host, ok := f.picked.Load(id); ok {
 		return host.(string)
 	}
-	host := spread.Pick(f.hosts, id)
+	host := spread.OwnerOf(f.hosts, id)
 	f.picked.Store(id, host)
 	return host
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -124,26 +124,26 @@
 	e.applyMarks(g, now)
 	for _, b := range g.Hosts {
 		for id, n := range b.Requests {
-			e.pick.Told(id, n, now)
+			e.pick.SetReported(id, n, now)
 		}
 		for id, ms := range b.PromptWaits {
-			e.pick.Waits(id, time.Duration(ms)*time.Millisecond, now)
+			e.pick.SetWait(id, time.Duration(ms)*time.Millisecond, now)
 		}
 		e.activity.setModelLoads(b.IP, b.ModelLoads)
 	}
 	for _, s := range g.Held {
-		e.holds.Tell(s.ID, s.Incarnation, s.Sequence, s.Adapters)
-		e.speeds.Told(s.ID, s.EventInterval)
+		e.holds.Update(s.ID, s.Incarnation, s.Sequence, s.Adapters)
+		e.speeds.SetReported(s.ID, s.EventInterval)
 	}
-	e.blame.Hear(g.Broke, now)
+	e.blame.AddBreaks(g.Broke, now)
 	e.giver.RecordUsage(g.Uses, now)
 }
 
 // applyStock applies the state of an engine that this host owns.
 func (e *Edge) applyStock(s stock.Stock) {
-	e.holds.Tell(s.ID, s.Incarnation, s.Sequence, s.Adapters)
-	e.holds.Recall(s.ID, s.Incarnation, s.Recent)
-	e.speeds.Told(s.ID, s.EventInterval)
+	e.holds.Update(s.ID, s.Incarnation, s.Sequence, s.Adapters)
+	e.holds.AddCached(s.ID, s.Incarnation, s.Recent)
+	e.speeds.SetReported(s.ID, s.EventInterval)
 	e.roster.Held(s)
 }
 
@@ -219,7 +219,7 @@
 // endTurn records the end of a turn, or of a request at a brittle upstream, that this host counts.
 func (e *Edge) endTurn(s spent.Spent) {
 	e.giver.EndTurn(s)
-	e.flight.Ended(s.Engine, s.Turn, s.Away)
+	e.flight.Release(s.Engine, s.Turn, s.Away)
 }
 
 // modelLoads returns how many base models engines of other hosts are loading, and how long this host waits before it starts a load: hosts
--- a/internal/edge/permit.go
+++ b/internal/edge/permit.go
@@ -20,8 +20,8 @@
 	case err != nil:
 		return err
 	case !r.Counts:
-		e.ration.Told(w.EngineID, 0, 0)
-		e.flight.Told(e.intake.View().Targets[w.EngineID], 0, 0)
+		e.ration.Update(w.EngineID, 0, 0)
+		e.flight.Update(e.intake.View().Targets[w.EngineID], 0, 0)
 	case r.Units == 0:
 		return intent.NewPromptQueueFull(r.Wait)
 	}
@@ -61,11 +61,11 @@
 	if w.Background || !known || !e.ration.Limited(w.EngineID) && !e.flight.Brittle(t) {
 		return ruling.Ruling{}
 	}
-	if wait := e.flight.Take(t, w.Turn, w.MaxLoadWait); wait > 0 {
+	if wait := e.flight.Acquire(t, w.Turn, w.MaxLoadWait); wait > 0 {
 		return ruling.Ruling{Counts: true, Wait: wait}
 	}
 	if wait := e.ration.Take(w.EngineID); wait > 0 {
-		e.flight.Ended(w.EngineID, w.Turn, false)
+		e.flight.Release(w.EngineID, w.Turn, false)
 		return ruling.Ruling{Counts: true, Wait: wait}
 	}
 	return ruling.Ruling{Counts: true, Units: 1}
@@ -73,20 +73,20 @@
 
 // withLimit adds what this host knows of the upstream's limit, and of whether it is brittle.
 func (e *Edge) withLimit(w intent.Intent) intent.Intent {
-	rate, age, ok := e.ration.Newest(w.EngineID)
+	rate, age, ok := e.ration.Latest(w.EngineID)
 	if ok {
 		w.RateLimit, w.RateLimitAge, w.HasRateLimit = rate, age, true
 	}
-	w.RejectLimit, w.RejectLimitAge, w.HasRejectLimit = e.flight.Newest(e.intake.View().Targets[w.EngineID])
+	w.RejectLimit, w.RejectLimitAge, w.HasRejectLimit = e.flight.Latest(e.intake.View().Targets[w.EngineID])
 	return w
 }
 
 // applyLimit applies what another host knows of the same.
 func (e *Edge) applyLimit(w intent.Intent) {
 	if w.HasRateLimit {
-		e.ration.Told(w.EngineID, w.RateLimit, w.RateLimitAge)
+		e.ration.Update(w.EngineID, w.RateLimit, w.RateLimitAge)
 	}
 	if w.HasRejectLimit {
-		e.flight.Told(e.intake.View().Targets[w.EngineID], w.RejectLimit, w.RejectLimitAge)
+		e.flight.Update(e.intake.View().Targets[w.EngineID], w.RejectLimit, w.RejectLimitAge)
 	}
 }
--- a/internal/edge/report.go
+++ b/internal/edge/report.go
@@ -28,7 +28,7 @@
 		Requests: e.engineLoads(), PromptWaits: e.engineWaits(), ModelLoads: e.giver.LoadingModels(),
 	}
 	uses = e.engineUsages(e.Setup().IP, func(id string) bool { return !e.grantsTurns(id) })
-	return own, uses, e.blame.News()
+	return own, uses, e.blame.TakePending()
 }
 
 // engineUsages returns what this host's requests use at the wanted engines, and how fast they run there.
@@ -47,7 +47,7 @@
 	ms := map[string]int{}
 	now := time.Now()
 	for id, wait := range e.giver.QueueWaits(e.grantsTurns) {
-		e.pick.Waits(id, wait, now)
+		e.pick.SetWait(id, wait, now)
 		if wait >= time.Millisecond {
 			ms[id] = int(wait.Milliseconds())
 		}
@@ -60,7 +60,7 @@
 	loads := e.giver.RunningRequests(e.grantsTurns)
 	now := time.Now()
 	for id, n := range loads {
-		e.pick.Told(id, n, now)
+		e.pick.SetReported(id, n, now)
 	}
 	return loads
 }
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -1,43 +1,42 @@
-// Package fair shares the time of one engine among teams: start-time fair queueing.
+// Package fair shares the time of one engine among teams by start-time fair queueing.
 //
-// Where more is asked for than an engine can read, whoever asks most gets most by order of arrival, and a team that asks for twenty times its
-// usual share costs the others as much as itself. Each team has a clock that goes on by what it was given over its weight; the team whose
-// clock is behind goes first. A team that asks for less than its share therefore never waits behind one that asks for more, and what it
-// leaves goes to the others at once.
+// In order of arrival, a team that asks for twenty times its usual share of a busy engine would delay the others as much as
+// itself. Here each team has a virtual time that advances by the cost of its prompts over its weight, and the team with the
+// lowest one is served first. A team below its share never waits behind one above it, and unused shares go to the others.
 package fair
 
 import "time"
 
-// Fair is used from one goroutine at a time.
+// Fair holds the virtual times of the teams at one engine. It is not safe for concurrent use.
 type Fair struct {
-	now   time.Duration            // clock of the team that was given time last
-	clock map[string]time.Duration // of teams that are ahead of it
+	virtualTime time.Duration            // start of the last prompt served
+	finish      map[string]time.Duration // finish of each team's last prompt, if after virtualTime
 }
 
-// Ahead returns how far a team is ahead of the one that was given time last; 0 where it had no more than its share of late.
+// Ahead returns how far a team's virtual time is ahead of the last team served; 0 if it stayed within its share.
 func (f *Fair) Ahead(team string) time.Duration {
-	return f.start(team) - f.now
+	return f.startTime(team) - f.virtualTime
 }
 
-// Give notes that a team is given some time. Weights say how much teams are entitled to beside each other; one without counts as one.
-func (f *Fair) Give(team string, cost time.Duration, weight float64) {
+// Charge adds the cost of a prompt to a team. Shares are proportional to weights; a weight of 0 or less counts as 1.
+func (f *Fair) Charge(team string, cost time.Duration, weight float64) {
 	if weight <= 0 {
 		weight = 1
 	}
-	start := f.start(team)
-	f.now = start
-	if f.clock == nil {
-		f.clock = map[string]time.Duration{}
+	start := f.startTime(team)
+	f.virtualTime = start
+	if f.finish == nil {
+		f.finish = map[string]time.Duration{}
 	}
-	f.clock[team] = start + time.Duration(float64(cost)/weight)
-	for other, clock := range f.clock {
-		if clock <= f.now {
-			delete(f.clock, other)
+	f.finish[team] = start + time.Duration(float64(cost)/weight)
+	for other, clock := range f.finish {
+		if clock <= f.virtualTime {
+			delete(f.finish, other)
 		}
 	}
 }
 
-// start returns when a team is given time next. One that has asked for nothing has not saved up for it.
-func (f *Fair) start(team string) time.Duration {
-	return max(f.now, f.clock[team])
+// startTime returns the virtual start of a team's next prompt. Idle teams accumulate no credit.
+func (f *Fair) startTime(team string) time.Duration {
+	return max(f.virtualTime, f.finish[team])
 }
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -1,8 +1,8 @@
-// Package flight counts the requests that are under way at upstreams that are brittle: ones that fall over where they have to turn too many away for want
-// of room. Other upstreams queue, and reject, at no more than the cost of a send.
+// Package flight limits the requests in flight at brittle upstreams: those that crash if they must reject too many requests
+// at once. Other upstreams queue or reject at little cost.
 //
-// For each upstream one host counts, as for limits (package ration). Hosts tell it what they heard of the upstream and when a request has ended, and newer
-// word counts.
+// One host counts for each upstream, as for rate limits (package ration). The others report to it the brittleness they saw in
+// answers and the end of each request, and the newest report wins.
 package flight
 
 import (
@@ -15,163 +15,163 @@
 )
 
 const (
-	// firstTakes is a guess of how long a request takes until some were measured, leastWait the shortest wait that is told.
-	firstTakes = 40 * time.Millisecond
-	leastWait  = 10 * time.Millisecond
-	// weight is that of the newest request in the mean.
-	weight = 0.1
-	// awayFor is the time in which rejections count together.
-	awayFor = time.Second
-	// awayShare is the part of the rejections that an upstream bears within which requests go on: others are on their way.
-	awayShare = 0.5
+	// initialDuration is the assumed duration of a request until some were measured; minWait is the shortest wait returned.
+	initialDuration = 40 * time.Millisecond
+	minWait         = 10 * time.Millisecond
+	// meanWeight is the weight of the newest request in the mean duration.
+	meanWeight = 0.1
+	// rejectionWindow is the time over which rejections are counted.
+	rejectionWindow = time.Second
+	// rejectionShare is the share of the tolerated rejections up to which requests are sent: those in flight may be rejected too.
+	rejectionShare = 0.5
 )
 
-// Flight may be used from several goroutines.
+// Flight counts requests in flight. It is safe for concurrent use.
 type Flight struct {
-	clock func() time.Duration
-	some  atomic.Bool // an upstream has said so; asked at each request, and mostly none has
+	clock       func() time.Duration
+	anyReported atomic.Bool // an upstream has reported brittleness; checked for each request and mostly false
 
-	mu     sync.Mutex
-	marks  map[string]*mark
-	groups map[string]word // newest of any upstream of a group that is brittle
+	mu        sync.Mutex
+	upstreams map[string]*upstreamState
+	groups    map[string]report // newest report of any brittle upstream of a group
 }
 
-// word is that an upstream is brittle, or is not.
-type word struct {
-	most int           // rejections in a second that it bears; 0 where it is not brittle
-	at   time.Duration // when it said so
+// report is the brittleness of an upstream at a time.
+type report struct {
+	maxRejections int // rejections a second that it tolerates; 0 if not brittle
+	reportedAt    time.Duration
 }
 
-// mark is what is known of one upstream.
-type mark struct {
-	word
-	under map[uint64]seat
-	away  []time.Duration // its rejections of late
-	takes time.Duration   // of a request, on average
+// upstreamState is what is known about one upstream.
+type upstreamState struct {
+	report
+	inFlight     map[uint64]slot
+	rejections   []time.Duration // times of recent rejections
+	meanDuration time.Duration   // of a request
 }
 
-// seat is one request under way.
-type seat struct {
-	since, until time.Duration // it is forgotten then, whoever sent it
+// slot is one request in flight.
+type slot struct {
+	startedAt, expiresAt time.Duration // dropped at expiresAt if not released
 }
 
-// NewFlight returns one that knows of no brittle upstream. The clock goes on through suspensions.
+// NewFlight returns a Flight without brittle upstreams. The clock must also advance while the machine is suspended.
 func NewFlight(clock func() time.Duration) *Flight {
-	return &Flight{clock: clock, marks: map[string]*mark{}, groups: map[string]word{}}
+	return &Flight{clock: clock, upstreams: map[string]*upstreamState{}, groups: map[string]report{}}
 }
 
-// Hear takes what an upstream said in an answer that came just now. It reports whether it is brittle from now on, or is not any more.
-func (f *Flight) Hear(t target.Target, n notice.Notice) (changed bool) {
-	return f.Told(t, n.Brittle, 0)
+// Observe records the notice in an answer that has just arrived and reports whether the upstream's brittleness changed.
+func (f *Flight) Observe(t target.Target, n notice.Notice) (changed bool) {
+	return f.Update(t, n.Brittle, 0)
 }
 
-// Told takes what another host has heard of an upstream: how many rejections in a second it bears, 0 where it is not brittle, and how long ago.
-func (f *Flight) Told(t target.Target, most int, age time.Duration) (changed bool) {
+// Update records a report from another host: the rejections a second that an upstream tolerates, 0 if not brittle, and its age.
+func (f *Flight) Update(t target.Target, maxRejections int, age time.Duration) (changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if most == 0 && len(f.groups) == 0 {
+	if maxRejections == 0 && len(f.groups) == 0 {
 		return false
 	}
-	told, m := word{most, f.clock() - age}, f.of(t)
-	if told.at < m.at {
+	newReport, m := report{maxRejections, f.clock() - age}, f.stateOf(t)
+	if newReport.reportedAt < m.reportedAt {
 		return false
 	}
-	before := f.newest(t)
-	m.word = told
-	if group := f.groups[t.Group]; most > 0 && told.at >= group.at {
-		f.groups[t.Group] = told
+	before := f.latest(t)
+	m.report = newReport
+	if group := f.groups[t.Group]; maxRejections > 0 && newReport.reportedAt >= group.reportedAt {
+		f.groups[t.Group] = newReport
 	}
-	f.some.Store(true)
-	return (before.most > 0) != (most > 0)
+	f.anyReported.Store(true)
+	return (before.maxRejections > 0) != (maxRejections > 0)
 }
 
-// of returns the mark of an upstream, a new one where there is none. It needs the lock.
-func (f *Flight) of(t target.Target) *mark {
-	m := f.marks[t.ID]
+// stateOf returns the state of an upstream, created if missing. The caller holds the lock.
+func (f *Flight) stateOf(t target.Target) *upstreamState {
+	m := f.upstreams[t.ID]
 	if m == nil {
-		m = &mark{under: map[uint64]seat{}, takes: firstTakes}
-		f.marks[t.ID] = m
+		m = &upstreamState{inFlight: map[uint64]slot{}, meanDuration: initialDuration}
+		f.upstreams[t.ID] = m
 	}
 	return m
 }
 
-// newest returns the newest word of an upstream. Those of a group are brittle together: one that has said nothing since another one did is taken to be, too,
-// or each host would send it requests that nobody counts until it has answered one of them. It needs the lock.
-func (f *Flight) newest(t target.Target) word {
+// latest returns the newest report about an upstream or its group: one without a newer report than its group counts as
+// brittle too, or each host would send it uncounted requests until its first answer. The caller holds the lock.
+func (f *Flight) latest(t target.Target) report {
 	w := f.groups[t.Group]
-	if m := f.marks[t.ID]; m != nil && m.at >= w.at {
-		w = m.word
+	if m := f.upstreams[t.ID]; m != nil && m.reportedAt >= w.reportedAt {
+		w = m.report
 	}
 	return w
 }
 
-// Newest returns what is known of an upstream, to tell another host; ok is false where nothing is.
-func (f *Flight) Newest(t target.Target) (most int, age time.Duration, ok bool) {
+// Latest returns the newest report about an upstream, to send to another host; ok is false if there is none.
+func (f *Flight) Latest(t target.Target) (maxRejections int, age time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.newest(t)
-	return w.most, f.clock() - w.at, w.at > 0
+	w := f.latest(t)
+	return w.maxRejections, f.clock() - w.reportedAt, w.reportedAt > 0
 }
 
 // Brittle reports whether an upstream is brittle.
 func (f *Flight) Brittle(t target.Target) bool {
-	if !f.some.Load() {
+	if !f.anyReported.Load() {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.newest(t).most > 0
+	return f.latest(t).maxRejections > 0
 }
 
-// Take counts a request that goes to a brittle upstream, and lasts so long at most. Where it may not go, wait is how long it will be until
-// one may.
-func (f *Flight) Take(t target.Target, turn uint64, lasts time.Duration) (wait time.Duration) {
+// Acquire counts a request that is sent to a brittle upstream and takes at most maxDuration. If none may be sent now, wait is
+// the time until one may.
+func (f *Flight) Acquire(t target.Target, turn uint64, maxDuration time.Duration) (wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := f.newest(t).most
-	if most == 0 {
+	maxRejections := f.latest(t).maxRejections
+	if maxRejections == 0 {
 		return 0
 	}
-	now, m := f.clock(), f.of(t)
+	now, m := f.clock(), f.stateOf(t)
 	m.expire(now)
-	if away := len(m.away); float64(away) >= max(1, awayShare*float64(most)) {
-		return m.away[0] + awayFor - now
+	if rejections := len(m.rejections); float64(rejections) >= max(1, rejectionShare*float64(maxRejections)) {
+		return m.rejections[0] + rejectionWindow - now
 	}
-	if len(m.under) >= max(1, t.Slots) {
-		return max(leastWait, m.takes/2)
+	if len(m.inFlight) >= max(1, t.Slots) {
+		return max(minWait, m.meanDuration/2)
 	}
-	m.under[turn] = seat{since: now, until: now + lasts}
+	m.inFlight[turn] = slot{startedAt: now, expiresAt: now + maxDuration}
 	return 0
 }
 
-// expire forgets requests whose hosts did not tell of their ends, and old rejections.
-func (m *mark) expire(now time.Duration) {
-	for turn, s := range m.under {
-		if now >= s.until {
-			delete(m.under, turn)
+// expire drops requests that were not released in time, and old rejections.
+func (m *upstreamState) expire(now time.Duration) {
+	for turn, s := range m.inFlight {
+		if now >= s.expiresAt {
+			delete(m.inFlight, turn)
 		}
 	}
-	for len(m.away) > 0 && now-m.away[0] >= awayFor {
-		m.away = m.away[1:]
+	for len(m.rejections) > 0 && now-m.rejections[0] >= rejectionWindow {
+		m.rejections = m.rejections[1:]
 	}
 }
 
-// Ended notes the end of a request; rejected says that the upstream turned it away.
-func (f *Flight) Ended(id string, turn uint64, rejected bool) {
+// Release records the end of a request; rejected says that the upstream rejected it.
+func (f *Flight) Release(id string, turn uint64, rejected bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.marks[id]
+	m := f.upstreams[id]
 	if m == nil {
 		return
 	}
 	now := f.clock()
-	s, counted := m.under[turn]
-	delete(m.under, turn)
+	s, counted := m.inFlight[turn]
+	delete(m.inFlight, turn)
 	switch {
 	case rejected:
-		m.away = append(m.away, now)
+		m.rejections = append(m.rejections, now)
 	case counted:
-		m.takes += time.Duration(weight * float64(now-s.since-m.takes))
+		m.meanDuration += time.Duration(meanWeight * float64(now-s.startedAt-m.meanDuration))
 	}
 }
 
@@ -179,9 +179,9 @@
 func (f *Flight) Forget(gone func(id string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id := range f.marks {
+	for id := range f.upstreams {
 		if gone(id) {
-			delete(f.marks, id)
+			delete(f.upstreams, id)
 		}
 	}
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,10 +1,8 @@
-// Package flow bounds how many loads a host has on their way, by how long loads take.
+// Package flow limits how many adapter loads a host has in flight, by how long loads take.
 //
-// A weight store serves some loads at full speed; with more on their way each takes longer in proportion, so that nothing
-// is gained and the first one comes as late as the last. One would notice loads that take three times as long as usual
-// while requests could have waited in an order of their own. The store's bound is not told and all hosts share it, so
-// each finds its part as hosts on a network find theirs: a little more while loads take as long as they should, less as
-// soon as they take longer.
+// A weight store serves a few loads at full speed; with more in flight each takes longer in proportion, so that all finish
+// late. The store's capacity is unknown and shared by all hosts, so each host adapts a window as TCP does: it grows while
+// loads take their usual time, and shrinks when they become slow.
 package flow
 
 import (
@@ -13,131 +11,131 @@
 )
 
 const (
-	// least and most bound the window.
-	least = 1
-	most  = 64
-	// first is the window until something was measured: with a handful of hosts some loads at once each.
-	first = 4
-	// slow is how many times the usual a load takes when there are too many.
-	slow = 1.8
-	// cut is what is left of the window after a slow load.
-	cut = 0.9
-	// usualFor is how long the shortest load is taken for the usual one; the store may have become slower for good.
-	usualFor = 20 * time.Second
-	// stuck is when a load that has not ended stops counting: its engine is gone.
-	stuck = 5 * time.Second
-	// asking is how long an engine counts as wanting a load after it has asked: some times the pause between two tries.
-	asking = 80 * time.Millisecond
+	// minWindow and maxWindow bound the window, in loads.
+	minWindow = 1
+	maxWindow = 64
+	// initialWindow applies until loads were measured; it suits a handful of hosts.
+	initialWindow = 4
+	// slowFactor is the multiple of the baseline from which a load counts as slow.
+	slowFactor = 1.8
+	// windowDecrease is the factor applied to the window after a slow load.
+	windowDecrease = 0.9
+	// baselineTTL is how long the shortest load is used as the baseline; the store may have become slower for good.
+	baselineTTL = 20 * time.Second
+	// loadTimeout is when an unfinished load stops counting: its engine is gone.
+	loadTimeout = 5 * time.Second
+	// requestTTL is how long a refused request counts as waiting: a few times the retry interval.
+	requestTTL = 80 * time.Millisecond
 )
 
-// Flow may be used from several goroutines.
+// Flow is the adaptive window of one host. It is safe for concurrent use.
 type Flow struct {
-	mu     sync.Mutex
-	window float64
-	under  map[int64]time.Time // loads on their way, by number
-	number int64
-	usual  time.Duration
-	usedAt time.Time // when usual was measured
-	cutAt  time.Time
-	asks   map[string]ask // engines that want a load to begin
+	mu          sync.Mutex
+	window      float64
+	inFlight    map[int64]time.Time // start times by load ID
+	lastID      int64
+	baseline    time.Duration
+	baselineAt  time.Time // when baseline was measured
+	decreasedAt time.Time
+	requests    map[string]request // waiting loads, by engine
 }
 
-// ask is how urgent the next load of an engine is.
-type ask struct {
-	late bool      // nobody would be on time
-	by   time.Time // when it must begin for somebody to be on time
-	at   time.Time
+// request is a load that an engine wants to begin.
+type request struct {
+	late        bool      // the deadline had passed at the time of the request
+	deadline    time.Time // latest begin that is in time for a caller
+	requestedAt time.Time
 }
 
-// before reports whether one load goes before another one.
-func (a ask) before(b ask) bool {
+// moreUrgentThan reports whether a is to begin before b.
+func (a request) moreUrgentThan(b request) bool {
 	if a.late != b.late {
 		return b.late
 	}
-	return a.by.Before(b.by)
+	return a.deadline.Before(b.deadline)
 }
 
-// NewFlow returns a flow that has measured nothing.
+// NewFlow returns a Flow without measurements.
 func NewFlow() *Flow {
-	return &Flow{window: first, under: map[int64]time.Time{}, asks: map[string]ask{}}
+	return &Flow{window: initialWindow, inFlight: map[int64]time.Time{}, requests: map[string]request{}}
 }
 
-// Begin reports whether a load at an engine may begin, and begins it; end takes whether it came from the store and succeeded.
-// By is when it must begin for its request to be on time. Where more engines ask than may begin, those that can be on time go
-// first, the most pressing before others: in order of asking, a burst makes all that come behind it late as well.
-func (f *Flow) Begin(engine string, by, now time.Time) (end func(now time.Time, counts bool), ok bool) {
+// Begin starts a load at an engine if the window allows it. The returned end takes whether the load came from the store and
+// succeeded. The deadline is the latest begin in time for the load's request. Loads that can still be in time begin first, by
+// deadline; in order of arrival a burst would also delay all loads behind it past their deadlines.
+func (f *Flow) Begin(engine string, deadline, now time.Time) (end func(now time.Time, counts bool), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for n, since := range f.under {
-		if now.Sub(since) > stuck {
-			delete(f.under, n)
+	for id, begunAt := range f.inFlight {
+		if now.Sub(begunAt) > loadTimeout {
+			delete(f.inFlight, id)
 		}
 	}
-	mine := ask{late: by.Before(now), by: by, at: now}
-	f.asks[engine] = mine
-	if float64(len(f.under)+1) > max(least, f.window) || f.behind(engine, mine) {
+	own := request{late: deadline.Before(now), deadline: deadline, requestedAt: now}
+	f.requests[engine] = own
+	if float64(len(f.inFlight)+1) > max(minWindow, f.window) || f.hasMoreUrgent(engine, own) {
 		return nil, false
 	}
-	delete(f.asks, engine)
-	f.number++
-	n := f.number
-	f.under[n] = now
-	return func(at time.Time, counts bool) { f.end(n, now, at, counts) }, true
+	delete(f.requests, engine)
+	f.lastID++
+	id := f.lastID
+	f.inFlight[id] = now
+	return func(at time.Time, counts bool) { f.end(id, now, at, counts) }, true
 }
 
-// behind reports whether another engine wants a load that is more urgent.
-func (f *Flow) behind(engine string, mine ask) bool {
-	for other, a := range f.asks {
-		if mine.at.Sub(a.at) > asking {
-			delete(f.asks, other)
+// hasMoreUrgent reports whether another engine waits for a more urgent load.
+func (f *Flow) hasMoreUrgent(engine string, own request) bool {
+	for other, a := range f.requests {
+		if own.requestedAt.Sub(a.requestedAt) > requestTTL {
+			delete(f.requests, other)
 			continue
 		}
-		if other != engine && a.before(mine) {
+		if other != engine && a.moreUrgentThan(own) {
 			return true
 		}
 	}
 	return false
 }
 
-// Spare reports whether less than half of what may be on its way is: enough for one more that nobody waits for.
-func (f *Flow) Spare(now time.Time) bool {
+// HasSpare reports whether less than half of the window is in use, enough for a load that no request waits for.
+func (f *Flow) HasSpare(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	under := 0
-	for _, since := range f.under {
-		if now.Sub(since) <= stuck {
-			under++
+	inFlight := 0
+	for _, begunAt := range f.inFlight {
+		if now.Sub(begunAt) <= loadTimeout {
+			inFlight++
 		}
 	}
-	return float64(2*under) < f.window
+	return float64(2*inFlight) < f.window
 }
 
-func (f *Flow) end(n int64, since, now time.Time, counts bool) {
+func (f *Flow) end(id int64, begunAt, now time.Time, counts bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	full := float64(len(f.under)+1) > f.window
-	delete(f.under, n)
+	full := float64(len(f.inFlight)+1) > f.window
+	delete(f.inFlight, id)
 	if !counts {
 		return
 	}
-	took := now.Sub(since)
-	if f.usual == 0 || took < f.usual || now.Sub(f.usedAt) > usualFor {
-		f.usual, f.usedAt = took, now
+	took := now.Sub(begunAt)
+	if f.baseline == 0 || took < f.baseline || now.Sub(f.baselineAt) > baselineTTL {
+		f.baseline, f.baselineAt = took, now
 	}
 	switch {
-	case float64(took) > slow*float64(f.usual):
-		if now.Sub(f.cutAt) > f.usual {
-			f.window = max(least, cut*f.window)
-			f.cutAt = now
+	case float64(took) > slowFactor*float64(f.baseline):
+		if now.Sub(f.decreasedAt) > f.baseline {
+			f.window = max(minWindow, windowDecrease*f.window)
+			f.decreasedAt = now
 		}
 	case full:
-		f.window = min(most, f.window+1/f.window)
+		f.window = min(maxWindow, f.window+1/f.window)
 	}
 }
 
-// Usual returns how long a load takes that nothing holds up; zero before one was measured.
-func (f *Flow) Usual() time.Duration {
+// Baseline returns how long an undelayed load takes; 0 before one was measured.
+func (f *Flow) Baseline() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.usual
+	return f.baseline
 }
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -8,26 +8,25 @@
 	"damaskreach/internal/flow"
 )
 
-// The store of the tests serves as many loads at full speed as users' sites do, and as long ones; with more on their way
-// each takes longer in proportion.
+// The simulated store has the capacity and load time of users' sites; with more loads in flight each takes longer in
+// proportion.
 const (
 	fullSpeed = 8
-	work      = 250 * time.Millisecond
+	loadTime  = 250 * time.Millisecond
 	onTime    = 800 * time.Millisecond
 	tick      = 5 * time.Millisecond
 )
 
 type job struct {
-	asked time.Duration
-	left  float64 // ms of work
-	end   func(now time.Time, counts bool)
+	requestedAt time.Duration
+	left        float64 // ms of work
+	end         func(now time.Time, counts bool)
 }
 
-// play asks for loads at a rate with bursts, from some hosts, for a minute, and returns the share that was done in time and
-// the mean time. Without bound all loads begin at once. Hosts serve those that can be in time first. The pattern is that
-// of busy hours at which demand moves to other adapters: the store is four fifths taken in the mean, and bursts of a
-// second ask for three times as much.
-func play(seed uint64, hosts int, bound bool) (share float64, mean time.Duration) {
+// simulate runs a minute of loads from some hosts and returns the share done in time and the mean time. Without bound all
+// loads begin at once. Hosts serve loads that can be in time first. The pattern is that of busy hours in which demand moves to
+// other adapters: a mean utilisation of four fifths, with bursts of a second at three times the rate.
+func simulate(seed uint64, hosts int, bound bool) (share float64, mean time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	begin := time.Unix(0, 0)
 	flows := make([]*flow.Flow, hosts)
@@ -35,8 +34,8 @@
 	for i := range flows {
 		flows[i] = flow.NewFlow()
 	}
-	var under []*job
-	done, good, sum := 0, 0, time.Duration(0)
+	var inFlight []*job
+	done, inTime, sum := 0, 0, time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += tick {
 		rate := 22.0
 		if now%(5*time.Second) < time.Second {
@@ -44,14 +43,14 @@
 		}
 		if r.Float64() < rate*tick.Seconds() {
 			i := r.IntN(hosts)
-			queues[i] = append(queues[i], &job{asked: now, left: float64(work / time.Millisecond)})
+			queues[i] = append(queues[i], &job{requestedAt: now, left: float64(loadTime / time.Millisecond)})
 		}
 		for i := range queues {
-			queues[i] = start(flows[i], queues[i], &under, begin, now, bound)
+			queues[i] = startLoads(flows[i], queues[i], &inFlight, begin, now, bound)
 		}
-		speed := min(1, float64(fullSpeed)/float64(max(1, len(under)))) * float64(tick/time.Millisecond)
-		kept := under[:0]
-		for _, j := range under {
+		speed := min(1, float64(fullSpeed)/float64(max(1, len(inFlight)))) * float64(tick/time.Millisecond)
+		kept := inFlight[:0]
+		for _, j := range inFlight {
 			if j.left -= speed; j.left > 0 {
 				kept = append(kept, j)
 				continue
@@ -60,23 +59,23 @@
 				j.end(begin.Add(now), true)
 			}
 			done++
-			took := now - j.asked
+			took := now - j.requestedAt
 			sum += took
 			if took <= onTime {
-				good++
+				inTime++
 			}
 		}
-		under = kept
+		inFlight = kept
 	}
-	return float64(good) / float64(done), sum / time.Duration(done)
+	return float64(inTime) / float64(done), sum / time.Duration(done)
 }
 
-// start begins as many of a host's loads as it may.
-func start(f *flow.Flow, queue []*job, under *[]*job, begin time.Time, now time.Duration, bound bool) []*job {
+// startLoads begins as many of a host's loads as its window allows.
+func startLoads(f *flow.Flow, queue []*job, inFlight *[]*job, begin time.Time, now time.Duration, bound bool) []*job {
 	for len(queue) > 0 {
 		next := 0
 		for i, j := range queue {
-			if now-j.asked < onTime-work {
+			if now-j.requestedAt < onTime-loadTime {
 				next = i
 				break
 			}
@@ -89,34 +88,34 @@
 			}
 			j.end = end
 		}
-		*under = append(*under, j)
+		*inFlight = append(*inFlight, j)
 		queue = append(queue[:next], queue[next+1:]...)
 	}
 	return queue
 }
 
-// Bursts ask for more loads than the store carries. Begun all at once they all come late; in turn, most come in time.
-func TestBoundedLoadsComeInTimeThroughBursts(t *testing.T) {
+// Bursts exceed the store's capacity. Begun at once, all loads are late; with the window most are in time.
+func TestBoundedLoadsMeetDeadlinesInBursts(t *testing.T) {
 	for seed := range uint64(5) {
-		free, freeMean := play(seed, 6, false)
-		bounded, boundedMean := play(seed, 6, true)
-		t.Logf("seed %d: in time %.2f at once, %.2f in turn; mean %v and %v", seed, free, bounded, freeMean, boundedMean)
+		free, freeMean := simulate(seed, 6, false)
+		bounded, boundedMean := simulate(seed, 6, true)
+		t.Logf("seed %d: share in time %.2f unbounded, %.2f bounded; mean %v and %v", seed, free, bounded, freeMean, boundedMean)
 		if bounded <= free {
-			t.Errorf("seed %d: share in time = %.2f, want more than the %.2f of loads at once", seed, bounded, free)
+			t.Errorf("seed %d: share in time = %.2f, want more than the %.2f of unbounded loads", seed, bounded, free)
 		}
 	}
 }
 
-// A store that is idle must not be left unused: one host alone opens its window to what the store carries.
-func TestOneHostUsesTheWholeStore(t *testing.T) {
-	share, mean := play(1, 1, true)
+// A single host must open its window to the store's capacity, or the store stays idle.
+func TestSingleHostOpensWindowToStoreCapacity(t *testing.T) {
+	share, mean := simulate(1, 1, true)
 	if share < 0.7 {
 		t.Errorf("share in time = %.2f with a mean of %v, want at least 0.7", share, mean)
 	}
 }
 
-// An engine dies in the middle of loads that never end. Their places must not be lost for the others.
-func TestLoadsThatNeverEndFreeTheirPlaces(t *testing.T) {
+// An engine dies during loads that never end. They must not occupy the window for good.
+func TestLoadsThatNeverEndTimeOut(t *testing.T) {
 	f := flow.NewFlow()
 	now := time.Unix(0, 0)
 	for {
@@ -129,9 +128,9 @@
 	}
 }
 
-// Three engines want loads and one may begin. The one whose request can still be on time goes first, the soonest of those,
-// also where others have asked before; one that has stopped asking holds up nobody.
-func TestLoadsThatCanBeOnTimeGoFirst(t *testing.T) {
+// Three engines wait for one place. Loads that can be in time begin first, by deadline, whatever the order of arrival; an
+// engine that no longer asks blocks nobody.
+func TestLoadsWithinDeadlineBeginFirst(t *testing.T) {
 	f := flow.NewFlow()
 	now := time.Unix(0, 0)
 	var ends []func(now time.Time, counts bool)
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -16,25 +16,25 @@
 	"damaskreach/internal/sess"
 )
 
-// A load fails and is tried again before the first permit has come back to the scheduler. If the second request queued
-// behind the first permit it would wait for itself, and callers of that adapter would see a stall of minutes.
-func TestTryingALoadAgainTakesItsPermitOver(t *testing.T) {
+// A load is retried before its first permit is released. If the second request queued behind the first permit, it would wait
+// for itself, and callers of that adapter would stall for minutes.
+func TestRetriedLoadTakesOverItsPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		g := newGrant(ctx)
-		first, err := g.Get(ctx, "store", "node", "runner", "a@v1", 0)
+		first, err := g.Acquire(ctx, "store", "node", "runner", "a@v1", 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		start := time.Now()
-		second, err := g.Get(ctx, "store", "node", "runner", "a@v1", 0)
+		second, err := g.Acquire(ctx, "store", "node", "runner", "a@v1", 0)
 		if got := time.Since(start); err != nil || got > 0 {
 			t.Errorf("second permit after %s with error %v, want it at once", got, err)
 		}
 		first()
 		second()
-		other, err := g.Get(ctx, "store", "node", "runner", "b@v1", 0)
+		other, err := g.Acquire(ctx, "store", "node", "runner", "b@v1", 0)
 		if got, want := time.Since(start), time.Second; err != nil || got > want {
 			t.Errorf("next permit after %s with error %v, want it within %s", got, err, want)
 		}
@@ -42,16 +42,16 @@
 	})
 }
 
-// At three loads a second each permit comes a third of a second after the one before, not at the next tick of some clock:
-// loads that wait longer than the store asks for stall callers.
-func TestPermitsComeAtTheStoresRate(t *testing.T) {
+// At three loads a second, permits must come a third of a second apart, not at the next tick of a timer: longer waits than
+// the store needs would stall callers.
+func TestPermitsFollowTheStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		g := newGrant(ctx)
 		start := time.Now()
 		for i := range 4 {
-			done, err := g.Get(ctx, "store", "node", "runner", string(rune('a'+i)), 0)
+			done, err := g.Acquire(ctx, "store", "node", "runner", string(rune('a'+i)), 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -63,9 +63,8 @@
 	})
 }
 
-// Operators change a store's rate. If its scheduler went on at the rate it began with, the store would refuse loads or
-// stand idle until another node orders them.
-func TestChangedRateIsFollowed(t *testing.T) {
+// Operators change a store's rate. At the old rate, the store would refuse loads or stay idle.
+func TestRateChangeTakesEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -79,7 +78,7 @@
 			rate = c.rate
 			start := time.Now()
 			for i := range 4 {
-				done, err := g.Get(ctx, "store", "node", "runner", string(rune('a'+i)), 0)
+				done, err := g.Acquire(ctx, "store", "node", "runner", string(rune('a'+i)), 0)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -1,8 +1,7 @@
-// Package holds keeps what each engine holds as far as this host knows.
+// Package holds tracks which adapters each engine holds, as far as this host knows.
 //
-// Engines' registrations are up to seconds old, so that a request for an adapter loaded a moment ago would seem to need
-// another load. The host that gives an engine its orders knows sooner and tells the others. The higher count of orders
-// wins.
+// Engines' registrations are up to seconds old, so an adapter loaded a moment ago would seem to need another load. The host
+// that owns an engine knows sooner and reports to the others. The state with the higher order count wins.
 package holds
 
 import (
@@ -12,34 +11,34 @@
 	"damaskreach/internal/target"
 )
 
-// missFor is how long an engine that rejected a request for an adapter is taken not to hold it, where nothing newer is
-// known: a registration's interval and some.
-const missFor = 2 * time.Second
+// missTTL is how long an engine that rejected a request for an adapter counts as not holding it, unless a newer state
+// arrives: somewhat more than the registration interval.
+const missTTL = 2 * time.Second
 
-// mostLeft is how many evicted adapters are remembered, some 100 bytes each; engines keep the weights of a hundred or so.
-const mostLeft = 20000
+// maxCached bounds the entries of cached, some 100 bytes each; an engine caches the weights of a hundred or so adapters.
+const maxCached = 20000
 
-// Unknown is the version of an adapter that is held in a version nobody told.
-const Unknown = 0
+// UnknownVersion is the version of an adapter whose held version is not known.
+const UnknownVersion = 0
 
-// Holds may be used from several goroutines.
+// Holds is safe for concurrent use.
 type Holds struct {
-	mu     sync.RWMutex
-	told   map[string]told
-	misses map[miss]time.Time
-	left   map[string]place // where an adapter was last that nobody may hold now
+	mu      sync.RWMutex
+	reports map[string]report
+	misses  map[miss]time.Time
+	cached  map[string]location // where each adapter was last evicted
 }
 
-// place is an engine in one incarnation.
-type place struct {
-	id   string
-	born int64
+// location is an engine in one incarnation, between two restarts.
+type location struct {
+	id          string
+	incarnation int64
 }
 
-type told struct {
-	born     int64
-	sequence int64
-	adapters map[string]int
+type report struct {
+	incarnation int64
+	sequence    int64
+	adapters    map[string]int
 }
 
 type miss struct {
@@ -47,103 +46,104 @@
 	adapter string
 }
 
-// NewHolds returns an empty record.
+// NewHolds returns an empty Holds.
 func NewHolds() *Holds {
-	return &Holds{told: map[string]told{}, misses: map[miss]time.Time{}, left: map[string]place{}}
+	return &Holds{reports: map[string]report{}, misses: map[miss]time.Time{}, cached: map[string]location{}}
 }
 
-// Tell records what an engine's order giver knows it to hold after so many orders. The map must not be changed any more.
-func (h *Holds) Tell(id string, born, sequence int64, adapters map[string]int) {
+// Update records the adapters of an engine, with their versions, after the given number of orders, as reported by its owner.
+// The caller must not change the map afterwards.
+func (h *Holds) Update(id string, incarnation, sequence int64, adapters map[string]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old, ok := h.told[id]
-	if ok && old.born == born && old.sequence > sequence {
+	old, ok := h.reports[id]
+	if ok && old.incarnation == incarnation && old.sequence > sequence {
 		return
 	}
-	if ok && old.born > born {
+	if ok && old.incarnation > incarnation {
 		return
 	}
-	h.told[id] = told{born: born, sequence: sequence, adapters: adapters}
-	if !ok || old.born != born {
+	h.reports[id] = report{incarnation: incarnation, sequence: sequence, adapters: adapters}
+	if !ok || old.incarnation != incarnation {
 		return
 	}
 	for a := range old.adapters {
 		if _, still := adapters[a]; !still {
-			h.remember(a, place{id, born})
+			h.recordCached(a, location{id, incarnation})
 		}
 	}
 }
 
-// remember notes where an adapter was evicted: its weights are still at hand there, and a load takes a tenth of the time and
-// brings nothing from the weight store.
-func (h *Holds) remember(adapter string, at place) {
-	if len(h.left) >= mostLeft {
-		clear(h.left)
+// recordCached stores where an adapter was evicted: the engine caches its weights, so that a load there takes a tenth of the
+// time and does not use the weight store.
+func (h *Holds) recordCached(adapter string, loc location) {
+	if len(h.cached) >= maxCached {
+		clear(h.cached)
 	}
-	h.left[adapter] = at
+	h.cached[adapter] = loc
 }
 
-// Recall notes which adapters an engine has at hand, as its order giver tells a host that has just been reached.
-func (h *Holds) Recall(id string, born int64, adapters []string) {
+// AddCached records the adapters whose weights an engine caches, as its owner reports to a host that has just become reachable.
+func (h *Holds) AddCached(id string, incarnation int64, adapters []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range adapters {
-		if _, known := h.left[a]; !known {
-			h.remember(a, place{id, born})
+		if _, known := h.cached[a]; !known {
+			h.recordCached(a, location{id, incarnation})
 		}
 	}
 }
 
-// Left reports whether an engine is the one from which an adapter was last evicted.
-func (h *Holds) Left(t target.Target, adapter string) bool {
+// CachedAt reports whether an engine caches an adapter: it was last evicted there, in this incarnation.
+func (h *Holds) CachedAt(t target.Target, adapter string) bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.left[adapter] == place{t.ID, t.Incarnation}
+	return h.cached[adapter] == location{t.ID, t.Incarnation}
 }
 
-// Miss records that an engine rejected a request because it does not hold the adapter.
-func (h *Holds) Miss(id, adapter string, now time.Time) {
+// RecordMiss records that an engine rejected a request because it does not hold the adapter.
+func (h *Holds) RecordMiss(id, adapter string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.misses[miss{id, adapter}] = now
 }
 
-// Hit records that an engine serves an adapter after all.
-func (h *Holds) Hit(id, adapter string) {
+// ClearMiss records that an engine serves an adapter after all.
+func (h *Holds) ClearMiss(id, adapter string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.misses, miss{id, adapter})
 }
 
-// Version returns the version of an adapter that an engine holds, and whether it holds it at all.
+// Version returns the version of an adapter that an engine holds, and whether it holds the adapter.
 func (h *Holds) Version(t target.Target, adapter string, now time.Time) (int, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.version(t, adapter, now)
+	return h.versionLocked(t, adapter, now)
 }
 
-// version needs the lock.
-func (h *Holds) version(t target.Target, adapter string, now time.Time) (int, bool) {
+// versionLocked is Version for callers that hold the lock.
+func (h *Holds) versionLocked(t target.Target, adapter string, now time.Time) (int, bool) {
 	held := t.Adapters
-	if known, ok := h.told[t.ID]; ok && known.born == t.Incarnation && known.sequence >= t.Sequence {
-		held = known.adapters
+	if r, ok := h.reports[t.ID]; ok && r.incarnation == t.Incarnation && r.sequence >= t.Sequence {
+		held = r.adapters
 	}
 	version, ok := held[adapter]
 	if !ok {
 		return version, false
 	}
-	if at, ok := h.misses[miss{t.ID, adapter}]; ok && now.Sub(at) < missFor {
-		return Unknown, false
+	if missedAt, ok := h.misses[miss{t.ID, adapter}]; ok && now.Sub(missedAt) < missTTL {
+		return UnknownVersion, false
 	}
 	return version, true
 }
 
-// Holders returns the engines of a list that hold an adapter, those with at least a version apart from those with an older one.
+// Holders returns the engines that hold at least a version of an adapter, and those that hold an older one.
 func (h *Holds) Holders(list []target.Target, adapter string, version int, now time.Time) (holders, older []target.Target) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	for _, t := range list {
-		held, ok := h.version(t, adapter, now)
+		held, ok := h.versionLocked(t, adapter, now)
 		switch {
 		case ok && held >= version:
 			holders = append(holders, t)
@@ -154,17 +154,17 @@
 	return holders, older
 }
 
-// Forget drops engines that are gone and misses that have ended.
+// Forget drops engines that are gone and expired misses.
 func (h *Holds) Forget(targets map[string]target.Target, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id := range h.told {
+	for id := range h.reports {
 		if _, ok := targets[id]; !ok {
-			delete(h.told, id)
+			delete(h.reports, id)
 		}
 	}
-	for m, at := range h.misses {
-		if now.Sub(at) >= missFor {
+	for m, missedAt := range h.misses {
+		if now.Sub(missedAt) >= missTTL {
 			delete(h.misses, m)
 		}
 	}
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -131,7 +131,7 @@
 		// Others may have ended this node's session and send it no digests any more: its own choices would be stale.
 		ids = slices.DeleteFunc(ids, func(id string) bool { return id == me.ID() })
 	}
-	id := spread.Pick(ids, key)
+	id := spread.OwnerOf(ids, key)
 	if id == "" || id == me.ID() {
 		return me, true
 	}
@@ -172,11 +172,11 @@
 
 func (h *Home) choose(ctx context.Context, q placeAsk) (placeSaid, error) {
 	return loop.Get(ctx, h.Loop, func() placeSaid {
-		h.Place.Tune(h.Tune()) // operators change them while nodes serve
+		h.Place.SetTune(h.Tune()) // operators change them while nodes serve
 		d, why, refusal := h.Place.Choose(time.Now(), q.Call, q.Avoid)
 		said := placeSaid{Digest: d.Brief(h.Place.Demand(time.Now(), q.Call)), Why: why, Refusal: refusal}
 		if said.short() {
-			said.lacking = h.Place.Lacking(h.Runners(q.Call.Group))
+			said.lacking = h.Place.Unavailable(h.Runners(q.Call.Group))
 		}
 		return said
 	})
@@ -186,10 +186,10 @@
 func (h *Home) Learn(digests []digest.Digest) {
 	now := time.Now()
 	for _, d := range digests {
-		h.Place.Learn(now, d)
+		h.Place.UpdateDigest(now, d)
 	}
 	if now.Sub(h.swept) >= sweepEvery {
 		h.swept = now
-		h.Place.Sweep(h.Known)
+		h.Place.Prune(h.Known)
 	}
 }
--- a/internal/home/twin.go
+++ b/internal/home/twin.go
@@ -20,7 +20,7 @@
 		return false
 	}
 	for range twinWait / twinLook {
-		failing, err := loop.Get(ctx, h.Loop, func() bool { return h.Place.Failing(q.Call, q.Avoid) })
+		failing, err := loop.Get(ctx, h.Loop, func() bool { return h.Place.CopyInFlight(q.Call, q.Avoid) })
 		if err != nil || !failing {
 			return false
 		}
--- a/internal/jitter/jitter.go
+++ b/internal/jitter/jitter.go
@@ -1,8 +1,8 @@
-// Package jitter learns how much of the pause that streams allow may be planned for reading prompts.
+// Package jitter computes which part of the allowed stall of streams may be planned for reading prompts.
 //
-// Some engines read two to three times slower for moments that nobody announces. Planned to the full, a reading in such a moment holds up all
-// streams of the engine for too long; planned small, engines that never do so read a fifth less than they can. So it follows from how often
-// readings took much longer than expected.
+// Some engines read two to three times slower for unpredictable moments. Planned to the full, a burst of prompts in such a
+// moment stalls all streams of the engine; planned with a reserve, steady engines read a fifth less than they can. So the part
+// depends on how often prompts took much longer to read than expected.
 package jitter
 
 import (
@@ -11,45 +11,45 @@
 )
 
 const (
-	// slow is how many times longer than expected a reading takes that counts as slow.
-	slow = 2.0
-	// memory is the weight of the newest reading: some hundred count.
-	memory = 0.01
-	// seldom and often are the shares of slow readings up to which all of the pause is planned for, and from which the least of it is.
-	seldom = 0.01
-	often  = 0.03
-	// least is the part of the pause that an engine some times slower still keeps to.
-	least = 0.4
-	// unknown is the share taken for true before anything was measured.
-	unknown = 0.02
+	// slowFactor is the multiple of the expected time from which a reading counts as slow.
+	slowFactor = 2.0
+	// sampleWeight is the weight of the newest reading; about a hundred count.
+	sampleWeight = 0.01
+	// minSlowShare is the share of slow readings up to which the whole stall is planned; from maxSlowShare on minRoom is.
+	minSlowShare = 0.01
+	maxSlowShare = 0.03
+	// minRoom is the part of the stall that an engine that slows down a few times still keeps to.
+	minRoom = 0.4
+	// initialSlowShare is the share assumed before anything was measured.
+	initialSlowShare = 0.02
 )
 
-// Jitter may be used from several goroutines.
+// Jitter is safe for concurrent use.
 type Jitter struct {
-	mu    sync.Mutex
-	share float64 // of readings that were slow
+	mu        sync.Mutex
+	slowShare float64 // of readings
 }
 
-// NewJitter returns what is known before anything was measured.
+// NewJitter returns a Jitter without measurements.
 func NewJitter() *Jitter {
-	return &Jitter{share: unknown}
+	return &Jitter{slowShare: initialSlowShare}
 }
 
-// Took takes how long a reading took, and how long it was expected to.
-func (j *Jitter) Took(took, expected time.Duration) {
+// AddSample adds the actual and expected time of a reading.
+func (j *Jitter) AddSample(took, expected time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	value := 0.0
-	if float64(took) > slow*float64(expected) {
+	if float64(took) > slowFactor*float64(expected) {
 		value = 1
 	}
-	j.share += memory * (value - j.share)
+	j.slowShare += sampleWeight * (value - j.slowShare)
 }
 
-// Room returns the part of the pause that streams allow which may be planned for reading.
+// Room returns the part of the allowed stall that may be planned for reading.
 func (j *Jitter) Room() float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	part := (j.share - seldom) / (often - seldom)
-	return 1 - (1-least)*min(1, max(0, part))
+	part := (j.slowShare - minSlowShare) / (maxSlowShare - minSlowShare)
+	return 1 - (1-minRoom)*min(1, max(0, part))
 }
--- a/internal/jitter/jitter_test.go
+++ b/internal/jitter/jitter_test.go
@@ -10,8 +10,9 @@
 
 const expected = 80 * time.Millisecond
 
-// after returns the room after many readings of which a share took two and a half times as long as expected, and the rest a tenth more or less.
-func after(share float64) float64 {
+// meanRoom returns the mean room after many readings, a share of which took 2.5 times as long as expected, the rest about as
+// long.
+func meanRoom(share float64) float64 {
 	s := jitter.NewJitter()
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := 0.0
@@ -21,7 +22,7 @@
 		if r.Float64() < share {
 			took = 5 * expected / 2
 		}
-		s.Took(took, expected)
+		s.AddSample(took, expected)
 		if i >= readings-counted {
 			sum += s.Room()
 		}
@@ -29,16 +30,15 @@
 	return sum / counted
 }
 
-// Engines that turn slow for moments hold up their streams if readings are planned to the full; engines that never do would read a fifth less
-// than they can if all were planned small.
-func TestRoomFollowsFromHowOftenReadingsAreSlow(t *testing.T) {
-	if got := after(0.15); got > 0.55 {
+// Engines that slow down at times must get less than the whole stall, steady engines nearly all of it.
+func TestRoomShrinksWithShareOfSlowReadings(t *testing.T) {
+	if got := meanRoom(0.15); got > 0.55 {
 		t.Errorf("room where one reading in seven is slow = %.2f, want 0.55 at most", got)
 	}
-	if got := after(0); got < 0.99 {
+	if got := meanRoom(0); got < 0.99 {
 		t.Errorf("room where no reading is slow = %.2f, want all of it", got)
 	}
-	if got := after(0.005); got < 0.85 {
+	if got := meanRoom(0.005); got < 0.85 {
 		t.Errorf("room where one reading in two hundred is slow = %.2f, want nearly all of it", got)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -20,20 +20,20 @@
 
 var red = team.Team{Name: "red", Rate: 100, Burst: 100}
 
-// counters stand for the hosts that hold the parts, each with so many units left.
-type counters struct {
-	mu    sync.Mutex
-	left  map[string]float64
-	down  map[string]bool // hosts that give no answer
-	gone  bool            // no part has a host
-	asked int
-	way   time.Duration // that a question takes
+// fakeHosts stands for the hosts that hold the shards, each with some units left.
+type fakeHosts struct {
+	mu      sync.Mutex
+	left    map[string]float64
+	down    map[string]bool // shards whose hosts don't answer
+	noHosts bool            // no shard has a host
+	asked   int
+	latency time.Duration // of a charge
 }
 
-func (c *counters) ask(ctx context.Context, ch charge.Charge) (ruling.Ruling, error) {
+func (c *fakeHosts) ask(ctx context.Context, ch charge.Charge) (ruling.Ruling, error) {
 	c.mu.Lock()
 	c.asked++
-	gone, down := c.gone, c.down[ch.Part]
+	gone, down := c.noHosts, c.down[ch.Part]
 	c.mu.Unlock()
 	if gone {
 		return ruling.Ruling{}, errors.New("no host")
@@ -42,7 +42,7 @@
 		<-ctx.Done()
 		return ruling.Ruling{}, ctx.Err()
 	}
-	time.Sleep(c.way)
+	time.Sleep(c.latency)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.left == nil {
@@ -63,15 +63,15 @@
 	return ruling.Ruling{Counts: true, Units: units, Wait: 2 * time.Second, Life: "life", Taken: time.Hour}, nil
 }
 
-func newLimits(c *counters) *limits.Limits {
+func newLimits(c *fakeHosts) *limits.Limits {
 	return &limits.Limits{Ask: c.ask, Log: zap.NewNop()}
 }
 
-// A limit lies in parts, and requests meet them by chance. One part is used up sooner than the others; a request is refused only where
-// none has anything left, and all parts together give out the limit and no more.
-func TestPartsTogetherAreTheLimit(t *testing.T) {
+// Requests use shards at random, so one is used up before the others. Requests must be refused only once all shards are used
+// up, and all shards together must grant exactly the limit.
+func TestShardsAddUpToTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &counters{}
+		c := &fakeHosts{}
 		l := newLimits(c)
 		granted := 0
 		for range 300 {
@@ -85,25 +85,26 @@
 	})
 }
 
-// A team is far over its limit. Its requests are refused at once, with the time when the first fits, and cost hardly a question.
+// A team is far over its limit. Its requests must be refused at once, with a Retry-After, and hardly ever ask a shard.
 func TestTeamOverItsLimitIsRefusedWithoutAsking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &counters{}
+		c := &fakeHosts{}
 		l := newLimits(c)
 		for range 200 {
 			l.Charge(t.Context(), red, 1, 1)
 		}
 		c.asked = 0
-		begun := time.Now()
+		begin := time.Now()
 		var last *refuse.Refusal
 		for range 1000 {
 			_, last = l.Charge(t.Context(), red, 1, 1)
 		}
-		if last == nil || last.Code != refuse.Limited || last.Verdict != verd.NotRun || last.Retry < 1500*time.Millisecond || last.Retry > 2*time.Second {
-			t.Errorf("refusal = %v, come back after %v, want limited, not run, about 2 s", last, last.Retry)
+		if last == nil || last.Code != refuse.Limited || last.Verdict != verd.NotRun ||
+			last.Retry < 1500*time.Millisecond || last.Retry > 2*time.Second {
+			t.Errorf("refusal = %v, retry after %v, want limited, not run, about 2 s", last, last.Retry)
 		}
-		if c.asked > 8 || time.Since(begun) > 0 {
-			t.Errorf("asked %d times in %v for 1000 requests, want hardly any", c.asked, time.Since(begun))
+		if c.asked > 8 || time.Since(begin) > 0 {
+			t.Errorf("asked %d times in %v for 1000 requests, want hardly any", c.asked, time.Since(begin))
 		}
 		if _, refusal := l.Charge(t.Context(), red, 1, 0.5); refusal == nil {
 			t.Error("half a unit granted, want it refused: nothing is left")
@@ -111,11 +112,11 @@
 	})
 }
 
-// A team has units for a long request, but in no part alone. The request gets them from several; where they do not suffice together it gives
-// back what it got, or the team would lose it.
-func TestLongRequestTakesFromSeveralParts(t *testing.T) {
+// A team has units for a large request, but in no single shard. The request must get them from several; if they don't suffice,
+// it must return them.
+func TestLongRequestTakesUnitsFromAllShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &counters{}
+		c := &fakeHosts{}
 		l := newLimits(c)
 		few := team.Team{Name: "few", Rate: 12, Burst: 12}
 		if _, refusal := l.Charge(t.Context(), few, 1, 10); refusal != nil {
@@ -141,12 +142,12 @@
 	})
 }
 
-// Two long requests come at once, and the team has units for one of them. Each gets the part that the other one lacks; were both refused, the
-// team would have nothing of its units.
-func TestOneOfTwoLongRequestsIsServed(t *testing.T) {
+// Two large requests compete for units that suffice for one. If each got a shard that the other one lacks, both would be
+// refused.
+func TestOneOfTwoConcurrentLongRequestsIsGranted(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
-			c := &counters{way: 2 * time.Millisecond}
+			c := &fakeHosts{latency: 2 * time.Millisecond}
 			l := newLimits(c)
 			few := team.Team{Name: "few", Rate: 12, Burst: 12}
 			granted := make(chan bool, 2)
@@ -159,74 +160,74 @@
 			if one, other := <-granted, <-granted; one == other {
 				t.Errorf("granted: %v and %v, want one of them", one, other)
 			}
-			time.Sleep(time.Second) // in which units are given back
+			time.Sleep(time.Second) // for the units to be returned
 		})
 	}
 }
 
-// The host with one part of a team's limit is dead. Requests go to the other parts, and after the first not even late.
-func TestLossOfAPartLeavesTheOthers(t *testing.T) {
+// The host of one shard is dead. Requests must use the other shards, without delay after the first one.
+func TestLostShardDoesNotDelayRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &counters{down: map[string]bool{}}
+		c := &fakeHosts{down: map[string]bool{}}
 		l := newLimits(c)
 		l.Charge(t.Context(), red, 1, 1)
-		for part := range c.left {
-			c.down[part] = true
+		for shard := range c.left {
+			c.down[shard] = true
 		}
 		for range 20 {
-			begun := time.Now()
+			begin := time.Now()
 			_, refusal := l.Charge(t.Context(), red, 1, 1)
-			if took := time.Since(begun); refusal != nil || took > 250*time.Millisecond {
+			if took := time.Since(begin); refusal != nil || took > 250*time.Millisecond {
 				t.Errorf("refusal = %v after %v, want it granted within 250 ms", refusal, took)
 			}
 		}
 	})
 }
 
-// All hosts have lost power, and no part has a host for a moment. A request waits for one as long as it may, and is not refused as over the
-// limit, which nobody knows.
-func TestRequestWaitsForAHostThatCounts(t *testing.T) {
+// After a power loss no shard has a host for a moment. A request must wait for one as long as it may, and must not be refused
+// as over the limit.
+func TestChargeWaitsForAvailableHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &counters{gone: true}
+		c := &fakeHosts{noHosts: true}
 		l := newLimits(c)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		time.AfterFunc(400*time.Millisecond, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.gone = false
+			c.noHosts = false
 		})
 		if _, refusal := l.Charge(ctx, red, 1, 1); refusal != nil {
 			t.Errorf("refused: %v, want it granted once a host counts", refusal)
 		}
-		c.gone = true
+		c.noHosts = true
 		short, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
-		begun := time.Now()
+		begin := time.Now()
 		_, refusal := l.Charge(short, red, 1, 1)
-		if refusal == nil || refusal.Code != refuse.NoUpstream || refusal.Retry == 0 || time.Since(begun) > 350*time.Millisecond {
-			t.Errorf("refusal = %v after %v, want no-upstream in time, with when to come back", refusal, time.Since(begun))
+		if refusal == nil || refusal.Code != refuse.NoUpstream || refusal.Retry == 0 || time.Since(begin) > 350*time.Millisecond {
+			t.Errorf("refusal = %v after %v, want no-upstream in time, with a retry delay", refusal, time.Since(begin))
 		}
 	})
 }
 
-// A small team has few units, so that a long request takes most of them. Its limit lies in few parts, and still not at one host alone.
-func TestSmallLimitLiesInFewParts(t *testing.T) {
+// A small limit has few units, and a large request takes most of them. It must have few shards, but more than one.
+func TestNumberOfShardsGrowsWithBurst(t *testing.T) {
 	for burst, want := range map[float64]int{1000: 2, 20000: 2, 30000: 3, 200000: 4} {
 		seen := map[string]bool{}
 		l := &limits.Limits{Log: zap.NewNop(), Ask: func(_ context.Context, c charge.Charge) (ruling.Ruling, error) {
 			seen[c.Part] = true
 			if got := c.Burst * float64(want); got != burst {
-				t.Errorf("burst %v: parts add up to %v", burst, got)
+				t.Errorf("burst %v: shards add up to %v", burst, got)
 			}
-			if burst < 20000 { // long requests need units of each part
+			if burst < 20000 { // large requests need units of each shard
 				return ruling.Ruling{Counts: true, Units: c.Units}, nil
 			}
 			return ruling.Ruling{Counts: true, Wait: time.Second}, nil
 		}}
 		l.Charge(t.Context(), team.Team{Name: "red", Tokens: true, Rate: burst, Burst: burst}, 1, 100)
 		if got := len(seen); got != want {
-			t.Errorf("burst %v: %d parts, want %d", burst, got, want)
+			t.Errorf("burst %v: %d shards, want %d", burst, got, want)
 		}
 	}
 }
--- a/internal/loader/driver.go
+++ b/internal/loader/driver.go
@@ -143,7 +143,7 @@
 
 // loadWait returns how long a new load would wait for those before it.
 func (d *driver) loadWait() time.Duration {
-	return time.Duration(d.backlog.Load()) * d.loader.Flow.Usual() / maxPendingLoads
+	return time.Duration(d.backlog.Load()) * d.loader.Flow.Baseline() / maxPendingLoads
 }
 
 // holds reports whether the engine serves the wanted adapter version, as far as this host knows.
--- a/internal/loader/loads.go
+++ b/internal/loader/loads.go
@@ -75,7 +75,7 @@
 	}
 	now := time.Now()
 	victim, idleTime := d.chooseVictim(w.Adapter, d.pool(t).AdapterCapacity(m))
-	if w.Background && (idleTime < spreadIdleTime || !d.isCached(w.Adapter) && !d.loader.Flow.Spare(now)) {
+	if w.Background && (idleTime < spreadIdleTime || !d.isCached(w.Adapter) && !d.loader.Flow.HasSpare(now)) {
 		// No request waits for it. With all adapter slots in use, one more copy of a busy adapter would evict the only copy of
 		// another, and while loads queue up it would delay a request.
 		w.done <- intent.ErrLoadQueueFull
--- a/internal/loader/prompts.go
+++ b/internal/loader/prompts.go
@@ -111,7 +111,7 @@
 				next = min(next, pollInterval)
 			}
 			kept = append(kept, w)
-			ahead += max(gap, q.pace.Takes(w.PromptCost))
+			ahead += max(gap, q.pace.Spacing(w.PromptCost))
 		}
 	}
 	q.waiting = kept
@@ -159,7 +159,7 @@
 func (q *promptQueue) grant(w waiter, now time.Time) {
 	q.ration.Take(q.id)
 	q.pace.Send(now, w.PromptCost, w.PauseTail)
-	q.teamShares.Give(w.Team, w.PromptCost, w.TeamWeight)
+	q.teamShares.Charge(w.Team, w.PromptCost, w.TeamWeight)
 	if w.Turn != 0 {
 		q.pace.Expect(w.Turn, now, w.PromptCost, w.PauseTail)
 	}
@@ -177,8 +177,8 @@
 	q.mu.Lock()
 	if !s.Read {
 		q.pace.Drop(s.Turn, time.Now())
-	} else if took, expected := q.pace.Read(s.Turn, time.Now()); expected > 0 {
-		q.jitter.Took(took, expected)
+	} else if took, expected := q.pace.MarkRead(s.Turn, time.Now()); expected > 0 {
+		q.jitter.AddSample(took, expected)
 	}
 	q.mu.Unlock()
 	q.signal()
@@ -196,7 +196,7 @@
 	limit, gap := q.ration.Wait(q.id)
 	sum := max(limit, q.pace.Backlog(time.Now()))
 	for _, w := range q.waiting {
-		sum += max(gap, q.pace.Takes(w.PromptCost))
+		sum += max(gap, q.pace.Spacing(w.PromptCost))
 	}
 	free := q.freeSlots()
 	if free <= 0 {
--- a/internal/loader/prompts_test.go
+++ b/internal/loader/prompts_test.go
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(2)
 		l := startLoaded(t, e)
-		e.ration.Told("e", 2, time.Second)
+		e.ration.Update("e", 2, time.Second)
 		granted, slowestRefusal := 0, time.Duration(0)
 		for _, u := range sendPrompts(t, l, 3, 10, 20*time.Second) {
 			if u.err == nil {
@@ -142,7 +142,7 @@
 		if slowestRefusal > callerTimeout {
 			t.Errorf("a request was refused after %v, want %v at most", slowestRefusal, callerTimeout)
 		}
-		e.ration.Told("e", 0, 0)
+		e.ration.Update("e", 0, 0)
 		if err := admit(t, l, adapterName(0)); err != nil {
 			t.Errorf("turn after the limit was lifted = %v, want none", err)
 		}
--- a/internal/loader/usage.go
+++ b/internal/loader/usage.go
@@ -35,7 +35,7 @@
 // adapter unloaded that a request is about to use.
 func (q *promptQueue) recordUsage(u usage.Usage, countedAt time.Time) {
 	q.mu.Lock()
-	q.tempo.Take(u.Host, time.Duration(u.Event)*time.Microsecond, u.Events, countedAt)
+	q.tempo.AddReport(u.Host, time.Duration(u.Event)*time.Microsecond, u.Events, countedAt)
 	s := q.usageByHost[u.Host]
 	if s == nil {
 		s = &hostUsage{}
@@ -53,14 +53,14 @@
 func (q *promptQueue) eventInterval() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.tempo.Event(time.Now())
+	return q.tempo.Gap(time.Now())
 }
 
 // restoreEventInterval starts from the event interval that another host measured.
 func (q *promptQueue) restoreEventInterval(event time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tempo.Begin(event, time.Now())
+	q.tempo.SetPrior(event, time.Now())
 }
 
 // resetEventInterval discards the measured event interval after the engine has restarted.
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -1,6 +1,6 @@
-// Package loads decides in which order a weight store serves the loads of its engines.
+// Package loads schedules the adapter loads of the engines that share a weight store.
 //
-// It does no I/O and starts no goroutines: time comes in as an argument and equal inputs give equal grants.
+// It does no I/O and starts no goroutines: the time is an argument, and equal inputs give equal grants.
 package loads
 
 import (
@@ -13,126 +13,125 @@
 	"damaskreach/internal/reason"
 )
 
-// aheadUrgency puts a load that nobody waits for behind every other one.
-const aheadUrgency = -30.0
+// prefetchUrgency ranks a load that no request waits for behind all others.
+const prefetchUrgency = -30.0
 
-// Loads is the load scheduler of one weight store: it grants one load at a time, which then runs at full speed,
-// never above the store's rate, the most urgent first.
+// Loads is the load scheduler of one weight store. It grants one permit at a time, so that each load runs at full speed,
+// within the store's rate, the most urgent load first.
 type Loads struct {
-	every  time.Duration // least time between two grants
-	lease  time.Duration // a permit not returned by then is void
-	policy policy.Policy
-	queue  []*ask
-	held   *ask // the permit in use
-	until  time.Time
-	next   time.Time // no grant before
+	interval  time.Duration // least time between two grants
+	lease     time.Duration // a permit not released within it expires
+	policy    policy.Policy
+	queue     []*request
+	held      *request // the permit in use
+	heldUntil time.Time
+	nextGrant time.Time // earliest time of the next grant
 }
 
-// ask is a request for a permit.
-type ask struct {
-	owner   string
-	runner  string
-	model   string
-	urgency float64
-	at      time.Time
+// request is a queued request for a permit.
+type request struct {
+	owner       string
+	runner      string
+	model       string
+	urgency     float64
+	requestedAt time.Time
 }
 
-// NewLoads returns a scheduler for a store that allows rate loads a second, whose permits expire after lease.
+// NewLoads returns a scheduler for a store that allows rate loads a second, with permits that expire after lease.
 func NewLoads(rate float64, lease time.Duration) *Loads {
-	return NewVariant(rate, lease, policy.Current())
+	return NewWithPolicy(rate, lease, policy.Current())
 }
 
-// NewVariant returns a scheduler that follows p, for comparisons.
-func NewVariant(rate float64, lease time.Duration, p policy.Policy) *Loads {
-	return &Loads{every: time.Duration(float64(time.Second) / rate), lease: lease, policy: p}
+// NewWithPolicy returns a scheduler that follows p, to compare policies.
+func NewWithPolicy(rate float64, lease time.Duration, p policy.Policy) *Loads {
+	return &Loads{interval: time.Duration(float64(time.Second) / rate), lease: lease, policy: p}
 }
 
-// Request asks for a permit to load model into runner; urgency is in seconds of age.
-// Asked again it updates the urgency and keeps the age.
+// Request asks for a permit to load model into runner, with an urgency in seconds of age.
+// A repeated request updates the urgency and keeps the age.
 func (l *Loads) Request(now time.Time, owner, runner, model string, urgency float64) []permit.Permit {
-	if a := l.find(runner, model); a != nil {
+	if a := l.findQueued(runner, model); a != nil {
 		a.owner, a.urgency = owner, urgency
-	} else if !l.holds(runner, model) {
-		l.queue = append(l.queue, &ask{owner: owner, runner: runner, model: model, urgency: urgency, at: now})
+	} else if !l.holdsPermit(runner, model) {
+		l.queue = append(l.queue, &request{owner: owner, runner: runner, model: model, urgency: urgency, requestedAt: now})
 	}
 	return l.Tick(now)
 }
 
-// Pace puts another rate of the store in force, in loads a second.
-func (l *Loads) Pace(rate float64) {
-	every := time.Duration(float64(time.Second) / rate)
-	l.next = l.next.Add(every - l.every)
-	l.every = every
+// SetRate changes the rate of the store, in loads a second.
+func (l *Loads) SetRate(rate float64) {
+	interval := time.Duration(float64(time.Second) / rate)
+	l.nextGrant = l.nextGrant.Add(interval - l.interval)
+	l.interval = interval
 }
 
-// Urgency turns the reason of a load order into seconds of age: the longest wait of a request for it.
-// A load ahead of demand comes after every load that requests wait for.
+// Urgency returns the urgency of a load order in seconds: the longest wait of a request for it. A prefetch ranks behind every
+// load that requests wait for.
 func Urgency(why reason.Reason) float64 {
 	if why.Waiting == 0 {
-		return aheadUrgency
+		return prefetchUrgency
 	}
 	return why.Wait.Seconds()
 }
 
-// Done returns a permit or takes a request back.
-func (l *Loads) Done(now time.Time, runner, model string) []permit.Permit {
-	if l.holds(runner, model) {
+// Release returns a permit or cancels a queued request.
+func (l *Loads) Release(now time.Time, runner, model string) []permit.Permit {
+	if l.holdsPermit(runner, model) {
 		l.held = nil
 	}
-	l.queue = slices.DeleteFunc(l.queue, func(a *ask) bool { return a.runner == runner && a.model == model })
+	l.queue = slices.DeleteFunc(l.queue, func(a *request) bool { return a.runner == runner && a.model == model })
 	return l.Tick(now)
 }
 
-// Tick voids a permit whose lease ran out and grants the next one when it is due.
-// A holder that died would otherwise stop every load of the site.
+// Tick drops an expired permit and grants the next one when due. Without expiry, a holder that died would block all loads of
+// the site.
 func (l *Loads) Tick(now time.Time) []permit.Permit {
-	if l.held != nil && !now.Before(l.until) {
+	if l.held != nil && !now.Before(l.heldUntil) {
 		l.held = nil
 	}
-	if l.held != nil || len(l.queue) == 0 || now.Before(l.next) {
+	if l.held != nil || len(l.queue) == 0 || now.Before(l.nextGrant) {
 		return nil
 	}
-	first := slices.MinFunc(l.queue, l.order)
-	l.queue = slices.DeleteFunc(l.queue, func(a *ask) bool { return a == first })
-	l.held = first
-	l.until = now.Add(l.lease)
-	l.next = now.Add(l.every)
-	return []permit.Permit{{Owner: first.owner, Runner: first.runner, Model: first.model, Until: l.until}}
+	next := slices.MinFunc(l.queue, l.compare)
+	l.queue = slices.DeleteFunc(l.queue, func(a *request) bool { return a == next })
+	l.held = next
+	l.heldUntil = now.Add(l.lease)
+	l.nextGrant = now.Add(l.interval)
+	return []permit.Permit{{Owner: next.owner, Runner: next.runner, Model: next.model, Until: l.heldUntil}}
 }
 
-// Next returns when Tick may next have something to grant; zero where nothing waits.
-func (l *Loads) Next() time.Time {
+// NextGrant returns when Tick may next grant a permit; zero if no request is queued.
+func (l *Loads) NextGrant() time.Time {
 	switch {
 	case len(l.queue) == 0:
 		return time.Time{}
 	case l.held != nil:
-		return l.until
+		return l.heldUntil
 	default:
-		return l.next
+		return l.nextGrant
 	}
 }
 
-// Waiting returns how many requests wait for a permit.
+// Waiting returns the number of queued requests.
 func (l *Loads) Waiting() int {
 	return len(l.queue)
 }
 
-// order puts the most urgent request first, or the oldest. A second of age counts like one of urgency,
-// so that no request is passed over for ever.
-func (l *Loads) order(a, b *ask) int {
+// compare orders requests by urgency, then age. A second of age counts as one of urgency, so that no request starves.
+func (l *Loads) compare(a, b *request) int {
 	if l.policy.Urgent {
-		later := b.at.Sub(a.at).Seconds()
+		later := b.requestedAt.Sub(a.requestedAt).Seconds()
 		if a.urgency+later != b.urgency {
 			return cmp.Compare(b.urgency, a.urgency+later)
 		}
 	}
-	if !a.at.Equal(b.at) {
-		return a.at.Compare(b.at)
+	if !a.requestedAt.Equal(b.requestedAt) {
+		return a.requestedAt.Compare(b.requestedAt)
 	}
 	return cmp.Or(cmp.Compare(a.runner, b.runner), cmp.Compare(a.model, b.model))
 }
 
-func (l *Loads) find(runner, model string) *ask {
+func (l *Loads) findQueued(runner, model string) *request {
 	for _, a := range l.queue {
 		if a.runner == runner && a.model == model {
 			return a
@@ -141,6 +140,6 @@
 	return nil
 }
 
-func (l *Loads) holds(runner, model string) bool {
+func (l *Loads) holdsPermit(runner, model string) bool {
 	return l.held != nil && l.held.runner == runner && l.held.model == model
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -23,9 +23,9 @@
 
 const lease = 2 * time.Second
 
-// The store slows down for everybody when two loads run at once or when it is asked too often.
-// Permits that are lost with their holder must not stop it either.
-func TestPermitsKeepToOneAtATimeAndTheRate(t *testing.T) {
+// The store slows down for everybody if two loads run at once or requests exceed its rate. Permits lost with their holder must
+// expire.
+func TestPermitsAreExclusiveAndRateLimited(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := loads.NewLoads(3, lease)
 		now, last := start, time.Time{}
@@ -51,19 +51,19 @@
 				if held != nil {
 					done := *held
 					held = nil
-					check(l.Done(now, done.Runner, done.Model))
+					check(l.Release(now, done.Runner, done.Model))
 				}
 			default:
 				check(l.Tick(now))
 			}
 		}
 		for l.Waiting() > 0 {
-			next := l.Next()
+			next := l.NextGrant()
 			if next.Before(now) {
 				next = now
 			}
 			if next.After(now.Add(lease + time.Second)) {
-				t.Fatalf("next look: got %v from now, want within a lease", next.Sub(now))
+				t.Fatalf("next grant: got %v from now, want within a lease", next.Sub(now))
 			}
 			now = next
 			check(l.Tick(now))
@@ -71,19 +71,19 @@
 	})
 }
 
-func TestMostUrgentFirst(t *testing.T) {
+func TestMostUrgentLoadIsGrantedFirst(t *testing.T) {
 	l := loads.NewLoads(3, lease)
 	l.Request(start, "n", "r0", "m", 0)
 	l.Request(start, "n", "r1", "m", 1)
 	l.Request(start, "n", "r2", "m", 5)
-	granted := l.Done(start.Add(time.Second), "r0", "m")
+	granted := l.Release(start.Add(time.Second), "r0", "m")
 	if len(granted) != 1 || granted[0].Runner != "r2" {
 		t.Errorf("second grant: got %v, want r2", granted)
 	}
 }
 
-// Urgent loads keep coming. A load of little urgency would wait for ever, and its caller with it.
-func TestOldRequestsAreNotPassedOverForEver(t *testing.T) {
+// Urgent loads keep coming. A less urgent one must not starve.
+func TestOldRequestsAreNotStarved(t *testing.T) {
 	l := loads.NewLoads(3, lease)
 	l.Request(start, "n", "r0", "m", 0)
 	l.Request(start, "n", "old", "m", 0)
@@ -92,7 +92,7 @@
 		now := start.Add(time.Duration(n) * time.Second)
 		urgent := fmt.Sprint("u", n)
 		l.Request(now, "n", urgent, "m", 5)
-		granted := l.Done(now, held, "m")
+		granted := l.Release(now, held, "m")
 		if len(granted) != 1 {
 			t.Fatalf("grants at %d s: got %d, want 1", n, len(granted))
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -182,7 +182,7 @@
 
 func (n *Node) buildRoles() {
 	c := n.Conf
-	n.share = &share.Share{Mesh: n.mesh, Self: n.self, Peers: n.peers, Learn: n.learn, Own: n.digests}
+	n.share = &share.Share{Mesh: n.mesh, Life: n.self, Peers: n.peers, OnDigests: n.learn, OwnDigests: n.digests}
 	n.follow = &follow.Follow{
 		Table: n.Table, Mesh: n.mesh, Poll: c.Poll, Log: n.Log, Name: c.Node, Peers: n.peers,
 		Seeds: c.Seeds, Objects: n.Objects, Chosen: n.chosen,
@@ -196,7 +196,7 @@
 	n.home = &home.Home{
 		Ctx: n.ctx, Alone: n.suspect.Alone, Suspect: n.suspect.Refusal,
 		Loop: n.loop, Lease: n.lease, Members: n.members, Mesh: n.mesh, Log: n.Log, Note: n.note,
-		Place: place.NewVariant(tune.Default(), n.Policy), Tune: n.tune, Known: n.known, Runners: n.staying, Fetch: n.fetch,
+		Place: place.NewWithPolicy(tune.Default(), n.Policy), Tune: n.tune, Known: n.known, Runners: n.staying, Fetch: n.fetch,
 	}
 	n.grant = &grant.Grant{Loop: n.loop, Mesh: n.mesh, Home: n.home.Of, Rate: n.storeRate, Policy: n.Policy}
 	n.owner = &owner.Owner{
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -75,7 +75,7 @@
 	for _, s := range serving {
 		ids = append(ids, s.ID())
 	}
-	first := spread.Pick(ids, model)
+	first := spread.OwnerOf(ids, model)
 	for i, s := range serving {
 		if s.ID() == first {
 			return append(append([]sess.Session{s}, serving[:i]...), serving[i+1:]...), nil
@@ -91,14 +91,14 @@
 		for _, s := range n.members.Serving(time.Now()) {
 			ids = append(ids, s.ID())
 		}
-		return spread.Pick(ids, task)
+		return spread.OwnerOf(ids, task)
 	})
 	return err == nil && id == n.self()
 }
 
 func (n *Node) permit(ctx context.Context, r runner.Runner, why reason.Reason) (func(), error) {
 	g, _ := n.follow.Catalog().Group(r.Group)
-	return n.grant.Get(ctx, g.Store, n.self(), r.Name, why.Model, loads.Urgency(why))
+	return n.grant.Acquire(ctx, g.Store, n.self(), r.Name, why.Model, loads.Urgency(why))
 }
 
 // tune returns the options in force.
--- a/internal/owner/kept.go
+++ b/internal/owner/kept.go
@@ -23,7 +23,7 @@
 		for version, share := range a.Versions {
 			if share > 0 {
 				model := call.Model(a.Name, version)
-				names[model] = spread.Pick(open, model) == h.spec.Name
+				names[model] = spread.OwnerOf(open, model) == h.spec.Name
 			}
 		}
 	}
--- a/internal/owner/plan.go
+++ b/internal/owner/plan.go
@@ -126,7 +126,7 @@
 		ids = append(ids, s.ID())
 	}
 	for _, edit := range o.Members.Ended(now, 0) {
-		if spread.Pick(ids, edit.Key) == o.Lease.Session().ID() {
+		if spread.OwnerOf(ids, edit.Key) == o.Lease.Session().ID() {
 			o.end(edit)
 		}
 	}
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,11 +1,11 @@
-// Package pace spaces the prompts that one engine is given, so that the streams it runs do not stall.
+// Package pace spaces the prompts sent to one engine, so that the streams it runs do not stall.
 //
-// An engine reads prompts in the same steps in which it makes the next token of every stream, so that all its streams wait for the sum of the
-// prompts that arrive together. Here a prompt waits until those being read leave room for it in the pause that streams allow, and for a rest behind
-// them where the engine is asked for more than it can read.
+// An engine reads prompts in the steps that generate the next token of every stream, so all its streams wait for the prompts
+// that arrive together. A prompt waits here until those being read leave room for it within the longest stall that streams
+// allow, and, if the engine is saturated, for an idle time after them.
 //
-// How long an engine reads is an estimate, and engines turn slow for moments. Hosts say when a prompt has been read; until then it counts as
-// being read, however long that takes. By the estimate alone, a slow engine would get the next prompts while it reads the last ones.
+// The reading time is an estimate, and engines slow down at times. So hosts confirm when a prompt has been read, and until
+// then it counts as being read. By the estimate alone, a slow engine would get the next prompts while it reads the last ones.
 package pace
 
 import (
@@ -15,136 +15,136 @@
 )
 
 const (
-	// rest is the part of the time that prompts took to read in which none is read afterwards, at an engine that is asked for more
-	// than it can do. Reading nearly all the time, it would give each stream one event in a reading: none pauses too long, and the
-	// long ones do not end before their callers leave.
-	rest = 0.35
-	// sustained is the part of the last seconds in which an engine must have read for that, and memory how many seconds those are. A
-	// burst is over before streams fall behind; resting in it makes requests late that the engine could read in time.
-	sustained = 0.5
-	memory    = 2 * time.Second
-	// look is how soon a prompt that is overdue is looked at again, and lost how long after it was due nobody is expected to say any more
-	// that it was read.
-	look = 20 * time.Millisecond
-	lost = 1500 * time.Millisecond
+	// restRatio is the idle time after a burst at a saturated engine, as a share of the burst's reading time. If the engine
+	// read nearly all the time, each stream would get one event per burst: none would stall too long, but long streams would
+	// not end before their callers leave.
+	restRatio = 0.35
+	// sustainedShare is the share of the last loadDecay that an engine must have spent reading to count as saturated. Short
+	// bursts end before streams fall behind; idle time in them would delay requests that the engine could read in time.
+	sustainedShare = 0.5
+	loadDecay      = 2 * time.Second
+	// recheckInterval is when an overdue prompt is checked again; readTimeout is how long after its due time a confirmation
+	// is no longer expected.
+	recheckInterval = 20 * time.Millisecond
+	readTimeout     = 1500 * time.Millisecond
 )
 
-// Pace is the record of one engine. It is used from one goroutine.
+// Pace is the state of one engine. It is not safe for concurrent use.
 type Pace struct {
-	end  time.Time     // when the prompts that were sent should be read
-	open []prompt      // those of them that somebody will say to have been read
-	last time.Time     // when the last of those was read that somebody told of
-	read time.Duration // how long those take that are read without a pause long enough for an event between them
-	load time.Duration // how long the prompts of the last seconds take to read, fading
-	at   time.Time     // of the last of them
+	busyUntil  time.Time     // expected end of reading the prompts sent
+	unread     []prompt      // prompts sent that await confirmation
+	lastRead   time.Time     // time of the last confirmation
+	burstCost  time.Duration // reading time of the current burst: prompts without a gap for an event between them
+	recentCost time.Duration // decayed reading time of recent prompts
+	lastSent   time.Time     // time of the last prompt
 }
 
-// prompt is one that was sent.
+// prompt is a prompt that was sent and is not confirmed yet.
 type prompt struct {
 	turn     uint64
 	cost     time.Duration
-	expected time.Duration // from when its reading begins to its first event
+	expected time.Duration // from the begin of its reading to its first event
 	sent     time.Time
 	due      time.Time
 }
 
-// Wait returns how long a prompt that takes cost to read has to wait. Room is how long reading may hold up a stream, and
-// tail the time without reading in which every stream gets its next event. Prompts join those being read while all of them
-// fit into the room: an event may need several steps, and each of them may read prompts. Others wait for the next tail, and
-// so does a prompt that needs more than the room by itself.
-func (p *Pace) Wait(now time.Time, cost, room, tail time.Duration) time.Duration {
-	free := p.ends(now).Add(p.pause(tail)).Sub(now)
-	if free <= 0 || p.read+cost <= room {
+// Wait returns how long a prompt of the given reading time has to wait. maxStall is how long reading may hold up a stream, and
+// eventGap is the time without reading in which every stream gets its next event. Prompts join the current burst while its
+// total fits into maxStall, since an event may need several steps, each of which may read prompts. Others wait for the next
+// gap, and so does a prompt that exceeds maxStall by itself.
+func (p *Pace) Wait(now time.Time, cost, maxStall, eventGap time.Duration) time.Duration {
+	free := p.finishTime(now).Add(p.idleTime(eventGap)).Sub(now)
+	if free <= 0 || p.burstCost+cost <= maxStall {
 		return 0
 	}
 	return free
 }
 
-// ends returns when the prompts that were sent should be read.
-func (p *Pace) ends(now time.Time) time.Time {
-	p.open = slices.DeleteFunc(p.open, func(o prompt) bool { return now.Sub(o.due) > lost })
-	if len(p.open) > 0 && p.end.Before(now.Add(look)) {
-		return now.Add(look)
+// finishTime returns when the prompts sent are expected to be read.
+func (p *Pace) finishTime(now time.Time) time.Time {
+	p.unread = slices.DeleteFunc(p.unread, func(o prompt) bool { return now.Sub(o.due) > readTimeout })
+	if len(p.unread) > 0 && p.busyUntil.Before(now.Add(recheckInterval)) {
+		return now.Add(recheckInterval)
 	}
-	return p.end
+	return p.busyUntil
 }
 
-// pause returns how long nothing is read after the prompts that were read last.
-func (p *Pace) pause(tail time.Duration) time.Duration {
-	if !p.full() {
-		return tail
+// idleTime returns how long the engine must read nothing after the current burst.
+func (p *Pace) idleTime(eventGap time.Duration) time.Duration {
+	if !p.saturated() {
+		return eventGap
 	}
-	return max(tail, time.Duration(rest*float64(p.read)))
+	return max(eventGap, time.Duration(restRatio*float64(p.burstCost)))
 }
 
-// full reports whether the engine has read for most of the last seconds.
-func (p *Pace) full() bool {
-	return p.load > time.Duration(sustained*float64(memory))
+// saturated reports whether the engine has recently spent most of its time reading.
+func (p *Pace) saturated() bool {
+	return p.recentCost > time.Duration(sustainedShare*float64(loadDecay))
 }
 
 // Send records a prompt that is sent now.
-func (p *Pace) Send(now time.Time, cost, tail time.Duration) {
-	if !now.Before(p.ends(now).Add(p.pause(tail))) {
-		p.read = 0
+func (p *Pace) Send(now time.Time, cost, eventGap time.Duration) {
+	if !now.Before(p.finishTime(now).Add(p.idleTime(eventGap))) {
+		p.burstCost = 0
 	}
-	p.read += cost
-	p.load = cost + time.Duration(float64(p.load)*math.Exp(-now.Sub(p.at).Seconds()/memory.Seconds()))
-	p.at = now
-	if p.end.Before(now) {
-		p.end = now
+	p.burstCost += cost
+	p.recentCost = cost + time.Duration(float64(p.recentCost)*math.Exp(-now.Sub(p.lastSent).Seconds()/loadDecay.Seconds()))
+	p.lastSent = now
+	if p.busyUntil.Before(now) {
+		p.busyUntil = now
 	}
-	p.end = p.end.Add(cost)
+	p.busyUntil = p.busyUntil.Add(cost)
 }
 
-// Expect notes that somebody will say when the prompt that was sent last, for this turn, has been read: when its first event has come, a tail
-// behind.
-func (p *Pace) Expect(turn uint64, now time.Time, cost, tail time.Duration) {
-	p.open = append(p.open, prompt{turn: turn, cost: cost, expected: cost + tail, sent: now, due: p.end})
+// Expect announces that MarkRead will be called for the prompt sent last, at its first event, which comes an eventGap after
+// reading.
+func (p *Pace) Expect(turn uint64, now time.Time, cost, eventGap time.Duration) {
+	p.unread = append(p.unread, prompt{turn: turn, cost: cost, expected: cost + eventGap, sent: now, due: p.busyUntil})
 }
 
-// Read notes that the prompt sent for a turn has been read, and returns how long that took and was expected to; 0 where nobody expected it.
-func (p *Pace) Read(turn uint64, now time.Time) (took, expected time.Duration) {
-	o, ok := p.close(turn, now)
+// MarkRead confirms that the prompt of a turn was read and returns its actual and expected times; 0 if it was not expected.
+func (p *Pace) MarkRead(turn uint64, now time.Time) (took, expected time.Duration) {
+	o, ok := p.remove(turn, now)
 	if !ok {
 		return 0, 0
 	}
-	begun := o.sent
-	if p.last.After(begun) {
-		begun = p.last
+	startedAt := o.sent
+	if p.lastRead.After(startedAt) {
+		startedAt = p.lastRead
 	}
-	p.last = now
-	return now.Sub(begun), o.expected
+	p.lastRead = now
+	return now.Sub(startedAt), o.expected
 }
 
 // Drop notes that the prompt of a turn is not sent, or gets no answer.
 func (p *Pace) Drop(turn uint64, now time.Time) {
-	p.close(turn, now)
+	p.remove(turn, now)
 }
 
-// close takes a prompt off those that are open.
-func (p *Pace) close(turn uint64, now time.Time) (prompt, bool) {
-	at := slices.IndexFunc(p.open, func(o prompt) bool { return o.turn == turn })
-	if at < 0 {
+// remove takes a prompt off the unconfirmed ones and recomputes busyUntil.
+func (p *Pace) remove(turn uint64, now time.Time) (prompt, bool) {
+	i := slices.IndexFunc(p.unread, func(o prompt) bool { return o.turn == turn })
+	if i < 0 {
 		return prompt{}, false
 	}
-	o := p.open[at]
-	p.open = slices.Delete(p.open, at, at+1)
-	p.end = now
-	for _, left := range p.open {
-		p.end = p.end.Add(left.cost)
+	o := p.unread[i]
+	p.unread = slices.Delete(p.unread, i, i+1)
+	p.busyUntil = now
+	for _, left := range p.unread {
+		p.busyUntil = p.busyUntil.Add(left.cost)
 	}
 	return o, true
 }
 
-// Takes returns how much later the next prompt may go behind one that takes cost to read, where many wait.
-func (p *Pace) Takes(cost time.Duration) time.Duration {
-	if !p.full() {
+// Spacing returns the time from a prompt of the given cost to the next one when many wait.
+func (p *Pace) Spacing(cost time.Duration) time.Duration {
+	if !p.saturated() {
 		return cost
 	}
-	return time.Duration((1 + rest) * float64(cost))
+	return time.Duration((1 + restRatio) * float64(cost))
 }
 
-// Backlog returns how long the engine has prompts to read.
+// Backlog returns how long the engine will be reading the prompts sent.
 func (p *Pace) Backlog(now time.Time) time.Duration {
-	return max(0, p.ends(now).Sub(now))
+	return max(0, p.finishTime(now).Sub(now))
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -13,9 +13,9 @@
 	tail = 25 * time.Millisecond
 )
 
-// Prompts arrive together at an engine that reads them in one long step. Its streams would all pause for the sum of them,
-// and their callers would see an answer that stalls; so only as many go together as fit into the pause that streams allow.
-func TestPromptsThatTogetherStallStreamsGoInTurn(t *testing.T) {
+// Prompts arrive together, and an engine would read them in one long step that stalls all its streams. Only as many may be
+// sent together as fit into the longest allowed stall.
+func TestPromptsBeyondMaxStallWait(t *testing.T) {
 	var p pace.Pace
 	now := time.Unix(0, 0)
 	var waits []bool
@@ -33,9 +33,8 @@
 	}
 }
 
-// A prompt that takes longer to read than streams may pause can never fit. Held back for ever it would never be answered,
-// so it goes once nothing else is being read.
-func TestPromptLargerThanThePauseGoesAlone(t *testing.T) {
+// A prompt that takes longer to read than the allowed stall never fits. It must be sent once nothing else is being read.
+func TestOversizedPromptIsSentAlone(t *testing.T) {
 	var p pace.Pace
 	now := time.Unix(0, 0)
 	p.Send(now, 50*time.Millisecond, tail)
@@ -48,9 +47,9 @@
 	}
 }
 
-// Prompts join those being read one after the other, each a little before the last was read. Streams get no event between
-// them, so the sum of all counts and not only what is left to read.
-func TestPromptsThatFollowEachOtherCountTogether(t *testing.T) {
+// Prompts arrive one after the other, each shortly before the last one was read. Streams get no event between them, so the sum
+// of all counts, not only what is left to read.
+func TestConsecutivePromptsAddUp(t *testing.T) {
 	var p pace.Pace
 	now := time.Unix(0, 0)
 	p.Send(now, 150*time.Millisecond, tail)
@@ -60,14 +59,14 @@
 	}
 }
 
-// load plays prompts at an engine and returns the share of pauses over the room, and the mean wait. The pattern is that of
-// assistants' requests at busy hours: Poisson arrivals, log-normal prompts with a mean of 60 ms to read, and half of the
-// engine's reading taken. A stream's event needs three steps, so reading without a plain step between adds up.
-func load(seed uint64, paced bool) (over float64, wait time.Duration) {
+// simulate runs prompts at an engine and returns the share of stalls over the room, and the mean wait. The pattern is that of
+// assistants' requests at busy hours: Poisson arrivals, log-normal prompts with a mean of 60 ms to read, half of the engine's
+// reading capacity. An event takes three steps, so reading without a plain step between adds up.
+func simulate(seed uint64, paced bool) (over float64, wait time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var p pace.Pace
 	now, end := time.Unix(0, 0), time.Unix(0, 0)
-	chain, chains, long := time.Duration(0), 0, 0
+	chain, chains, longChains := time.Duration(0), 0, 0
 	const n = 20000
 	for range n {
 		now = now.Add(time.Duration(r.ExpFloat64() * float64(120*time.Millisecond)))
@@ -82,7 +81,7 @@
 		if !now.Before(end.Add(tail)) {
 			chains++
 			if chain > room {
-				long++
+				longChains++
 			}
 			chain = 0
 		}
@@ -92,35 +91,34 @@
 		}
 		end = end.Add(cost)
 	}
-	return float64(long) / float64(chains), wait / n
+	return float64(longChains) / float64(chains), wait / n
 }
 
-// At half load, prompts sent as they come make streams pause too long one in six times that an engine reads; paced ones
-// never do, and wait some 11 ms, a hundredth of the second in which the first event is on time.
-func TestPacedPromptsStallNoStreamsAtHalfLoad(t *testing.T) {
+// At half load, prompts sent on arrival stall streams too long in one of six bursts; paced ones never do, and wait some
+// 11 ms, a hundredth of the second in which the first event is in time.
+func TestPacedPromptsDoNotStallStreamsAtHalfLoad(t *testing.T) {
 	for seed := range uint64(5) {
-		plain, _ := load(seed, false)
-		paced, wait := load(seed, true)
+		plain, _ := simulate(seed, false)
+		paced, wait := simulate(seed, true)
 		if plain < 0.1 {
-			t.Errorf("seed %d: share of long pauses as they come = %.2f, want a load that shows the stall", seed, plain)
+			t.Errorf("seed %d: share of long stalls unpaced = %.2f, want a load that shows them", seed, plain)
 		}
 		if paced > 0 {
-			t.Errorf("seed %d: share of long pauses when paced = %.3f, want 0", seed, paced)
+			t.Errorf("seed %d: share of long stalls when paced = %.3f, want 0", seed, paced)
 		}
 		if wait > 100*time.Millisecond {
 			t.Errorf("seed %d: mean wait = %v, want at most 100ms", seed, wait)
 		}
-		t.Logf("seed %d: long pauses %.2f as they come, %.2f paced; mean wait %v", seed, plain, paced, wait)
+		t.Logf("seed %d: share of long stalls %.2f unpaced, %.2f paced; mean wait %v", seed, plain, paced, wait)
 	}
 }
 
-// An engine is asked for much more than it can read, as after the loss of most of its neighbours. Streams must go on at a
-// pace at which the long ones end before their callers leave: a third of the time goes to plain steps, in which they get
-// their events.
-func TestFullEngineLeavesTimeForItsStreams(t *testing.T) {
+// An engine is asked for much more than it can read, as after the loss of most of its neighbours. A third of the time must go
+// to plain steps, so that long streams end before their callers leave.
+func TestSaturatedEngineLeavesTimeForStreams(t *testing.T) {
 	var p pace.Pace
-	now, begun, read := time.Unix(0, 0), time.Unix(0, 0), time.Duration(0)
-	for now.Sub(begun) < time.Minute {
+	now, begin, read := time.Unix(0, 0), time.Unix(0, 0), time.Duration(0)
+	for now.Sub(begin) < time.Minute {
 		cost := 70 * time.Millisecond
 		if wait := p.Wait(now, cost, room, tail); wait > 0 {
 			now = now.Add(wait)
@@ -129,7 +127,7 @@
 		p.Send(now, cost, tail)
 		read += cost
 	}
-	if got, most := float64(read)/float64(time.Minute), 0.76; got > most {
-		t.Errorf("share of the time in which prompts are read = %.2f, want at most %.2f", got, most)
+	if got, limit := float64(read)/float64(time.Minute), 0.76; got > limit {
+		t.Errorf("share of the time in which prompts are read = %.2f, want at most %.2f", got, limit)
 	}
 }
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -1,4 +1,4 @@
-// Package pick chooses among upstreams that could serve a request, by how busy and how sound each seems.
+// Package pick ranks the upstreams that can serve a request by load, failures and distance.
 package pick
 
 import (
@@ -12,59 +12,59 @@
 )
 
 const (
-	// memory is the weight of the newest outcome in an upstream's share of failures: some ten outcomes count.
-	memory = 0.12
-	// blame is how many times busier an upstream counts that fails always.
-	blame = 6.0
-	// leastRest and mostRest bound how long an upstream is left alone after it could not be reached or broke off. The first
-	// is short, since a lost connection may be the only trouble; crashed engines are back after seconds.
-	leastRest = 150 * time.Millisecond
-	mostRest  = 3 * time.Second
-	// toldLife is how long another host's counts are believed.
-	toldLife = 3 * time.Second
-	// perWait is the wait for prompts of others that weighs as much as one request that runs.
-	perWait = 20 * time.Millisecond
-	// noise spreads the choices of hosts that know the same: what they were told is some tenths of a second old, and without it
-	// all would send to the engine that was the least busy then.
-	noise = 0.3
-	// far is what a send to another data centre counts beside requests that run: bytes between data centres cost, and
-	// they are the first that a cut stops.
-	far = 0.7
+	// failureWeight is the weight of the newest outcome in an upstream's failure share; about ten outcomes count.
+	failureWeight = 0.12
+	// failurePenalty is the relative increase of the score of an upstream that always fails.
+	failurePenalty = 6.0
+	// minBackoff and maxBackoff bound the backoff after an upstream was unreachable or broke a connection. The first one is
+	// short, since a lost connection may be the only trouble; crashed engines are back after seconds.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// reportTTL is how long a request count from another host is used.
+	reportTTL = 3 * time.Second
+	// waitPerRequest is the wait for queued prompts that weighs as much as one running request.
+	waitPerRequest = 20 * time.Millisecond
+	// scoreJitter spreads the choices of hosts that have the same counts. Counts are some tenths of a second old, and without
+	// jitter all hosts would send to the engine that was the least busy one then.
+	scoreJitter = 0.3
+	// remoteCost is what another data centre adds to a score, in running requests: traffic between data centres costs, and
+	// a network partition breaks it first.
+	remoteCost = 0.7
 )
 
-// Pick may be used from several goroutines.
+// Pick ranks upstreams for one host. It is safe for concurrent use.
 type Pick struct {
-	// Slow returns how many times slower than the usual one an upstream is; nil means that all are alike.
-	Slow func(id string) float64
+	// Slowdown returns how many times slower than the reference engine an upstream is; nil means that all are equal.
+	Slowdown func(id string) float64
 
 	centre string
 
-	mu    sync.Mutex
-	loads map[string]*load
+	mu     sync.Mutex
+	states map[string]*state
 }
 
-type load struct {
-	running int
-	failed  float64 // share of recent requests that failed for reasons of the upstream
-	streak  int     // times it was left alone, one after the other
-	until   time.Time
-	wait    time.Duration
-	waitAt  time.Time // when wait was told
-	told    int
-	begun   int // requests that this host has sent since
-	toldAt  time.Time
+type state struct {
+	running        int
+	failureShare   float64 // share of recent requests that failed through the upstream's fault
+	backoffs       int     // backoffs in a row
+	backoffUntil   time.Time
+	wait           time.Duration
+	waitReportedAt time.Time
+	reported       int
+	sentSince      int // requests sent by this host since the report
+	reportedAt     time.Time
 }
 
-// NewPick returns a chooser for a host in a data centre.
+// NewPick returns a Pick for a host in the given data centre.
 func NewPick(centre string) *Pick {
-	return &Pick{centre: centre, loads: map[string]*load{}}
+	return &Pick{centre: centre, states: map[string]*state{}}
 }
 
-func (p *Pick) of(id string) *load {
-	l, ok := p.loads[id]
+func (p *Pick) stateOf(id string) *state {
+	l, ok := p.states[id]
 	if !ok {
-		l = &load{}
-		p.loads[id] = l
+		l = &state{}
+		p.states[id] = l
 	}
 	return l
 }
@@ -73,153 +73,153 @@
 func (p *Pick) Begin(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.of(id)
+	l := p.stateOf(id)
 	l.running++
-	l.begun++
+	l.sentSince++
 }
 
-// End counts its end, and whether the upstream failed it.
+// End counts the end of a request and whether it failed through the upstream's fault.
 func (p *Pick) End(id string, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.of(id)
+	l := p.stateOf(id)
 	l.running--
 	value := 0.0
 	if failed {
 		value = 1
 	}
-	l.failed += memory * (value - l.failed)
+	l.failureShare += failureWeight * (value - l.failureShare)
 	if !failed {
-		l.streak = 0
+		l.backoffs = 0
 	}
 }
 
-// Rest leaves an upstream alone for a while, longer each time until it serves a request again.
-func (p *Pick) Rest(id string, now time.Time) {
+// BackOff avoids an upstream for a while that doubles each time until the upstream serves a request again.
+func (p *Pick) BackOff(id string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.of(id)
-	if now.Before(l.until) {
+	l := p.stateOf(id)
+	if now.Before(l.backoffUntil) {
 		return
 	}
-	rest := min(mostRest, leastRest<<min(l.streak, 5))
-	l.streak++
-	l.until = now.Add(rest)
+	backoff := min(maxBackoff, minBackoff<<min(l.backoffs, 5))
+	l.backoffs++
+	l.backoffUntil = now.Add(backoff)
 }
 
-// Waits records how long a prompt would wait at an engine.
-func (p *Pick) Waits(id string, wait time.Duration, now time.Time) {
+// SetWait records how long a prompt would wait at an engine.
+func (p *Pick) SetWait(id string, wait time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.of(id)
-	l.wait, l.waitAt = wait, now
+	l := p.stateOf(id)
+	l.wait, l.waitReportedAt = wait, now
 }
 
-// Waiting returns how long a prompt would wait at an engine.
-func (p *Pick) Waiting(id string, now time.Time) time.Duration {
+// Wait returns how long a prompt would wait at an engine.
+func (p *Pick) Wait(id string, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, ok := p.loads[id]
+	l, ok := p.states[id]
 	if !ok {
 		return 0
 	}
-	return l.waiting(now)
+	return l.remainingWait(now)
 }
 
-// waiting returns what is left of a wait that was told a moment ago.
-func (l *load) waiting(now time.Time) time.Duration {
-	return max(0, l.wait-now.Sub(l.waitAt))
+// remainingWait returns what is left of the last reported wait.
+func (l *state) remainingWait(now time.Time) time.Duration {
+	return max(0, l.wait-now.Sub(l.waitReportedAt))
 }
 
-// Told records how many requests were sent of late to an engine, as the host knows that gives it its orders.
-func (p *Pick) Told(id string, n int, now time.Time) {
+// SetReported records the number of requests recently sent to an engine, as reported by its owner.
+func (p *Pick) SetReported(id string, n int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.of(id)
-	l.told, l.toldAt, l.begun = n, now, 0
+	l := p.stateOf(id)
+	l.reported, l.reportedAt, l.sentSince = n, now, 0
 }
 
 // Forget drops upstreams that are gone.
 func (p *Pick) Forget(targets map[string]target.Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.loads {
+	for id, l := range p.states {
 		if _, ok := targets[id]; !ok && l.running == 0 {
-			delete(p.loads, id)
+			delete(p.states, id)
 		}
 	}
 }
 
-// Busy returns how much an upstream has to do: the requests that it is known to have running, each as often as the upstream is slower than
-// the usual one.
-func (p *Pick) Busy(id string, now time.Time) float64 {
-	return p.slow(id) * float64(p.Load(id, now))
+// WeightedLoad returns the number of requests known to run on an upstream, times its slowdown.
+func (p *Pick) WeightedLoad(id string, now time.Time) float64 {
+	return p.slowdown(id) * float64(p.Running(id, now))
 }
 
-// Mean returns how much upstreams have to do on average.
-func (p *Pick) Mean(list []target.Target, now time.Time) float64 {
+// MeanLoad returns the mean weighted load of upstreams.
+func (p *Pick) MeanLoad(list []target.Target, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum := 0.0
 	for _, t := range list {
-		if n := p.total(t.ID, now); n != 0 {
-			sum += p.slow(t.ID) * float64(n)
+		if n := p.running(t.ID, now); n != 0 {
+			sum += p.slowdown(t.ID) * float64(n)
 		}
 	}
 	return sum / float64(len(list))
 }
 
-func (p *Pick) slow(id string) float64 {
-	if p.Slow == nil {
+func (p *Pick) slowdown(id string) float64 {
+	if p.Slowdown == nil {
 		return 1
 	}
-	return p.Slow(id)
+	return p.Slowdown(id)
 }
 
-// Load returns how many requests an upstream is known to have running.
-func (p *Pick) Load(id string, now time.Time) int {
+// Running returns the number of requests known to run on an upstream.
+func (p *Pick) Running(id string, now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.total(id, now)
+	return p.running(id, now)
 }
 
-func (p *Pick) total(id string, now time.Time) int {
-	l, ok := p.loads[id]
+func (p *Pick) running(id string, now time.Time) int {
+	l, ok := p.states[id]
 	switch {
 	case !ok:
 		return 0
-	case now.Sub(l.toldAt) > toldLife:
+	case now.Sub(l.reportedAt) > reportTTL:
 		return l.running
 	default:
-		return max(l.running, l.told+l.begun)
+		return max(l.running, l.reported+l.sentSince)
 	}
 }
 
-// Order returns the candidates, the best first. Those that rest come last, the one that rests least first: a request
-// that has no other way is better tried there than refused.
+// Order returns the candidates, best first. Those in backoff come last, the shortest remaining backoff first: a request
+// without another candidate is better tried there than refused.
 func (p *Pick) Order(candidates []target.Target, now time.Time) []target.Target {
 	type scored struct {
-		target target.Target
-		rest   time.Duration
-		score  float64
+		target  target.Target
+		backoff time.Duration
+		score   float64
 	}
 	p.mu.Lock()
 	list := make([]scored, 0, len(candidates))
 	for _, t := range candidates {
-		l := p.of(t.ID)
-		s := scored{target: t, rest: max(0, l.until.Sub(now))}
-		// The shortest expected delay: the streams that share an engine take turns, so that one more is done later by the number of those
-		// that run, and by what a turn takes there.
-		s.score = (p.slow(t.ID)*float64(p.total(t.ID, now)+1) + float64(l.waiting(now)/perWait)) * (1 + blame*l.failed)
+		l := p.stateOf(t.ID)
+		s := scored{target: t, backoff: max(0, l.backoffUntil.Sub(now))}
+		// The expected delay: streams on an engine share its steps, so a new request takes longer with each running one and
+		// with the engine's slowdown.
+		s.score = (p.slowdown(t.ID)*float64(p.running(t.ID, now)+1) + float64(l.remainingWait(now)/waitPerRequest)) *
+			(1 + failurePenalty*l.failureShare)
 		if t.Centre != p.centre {
-			s.score += far
+			s.score += remoteCost
 		}
-		s.score *= 1 + noise*rand.Float64()
+		s.score *= 1 + scoreJitter*rand.Float64()
 		list = append(list, s)
 	}
 	p.mu.Unlock()
 	slices.SortStableFunc(list, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(a.rest, b.rest), cmp.Compare(a.score, b.score))
+		return cmp.Or(cmp.Compare(a.backoff, b.backoff), cmp.Compare(a.score, b.score))
 	})
 	sorted := make([]target.Target, len(list))
 	for i, s := range list {
@@ -228,10 +228,10 @@
 	return sorted
 }
 
-// Resting reports whether an upstream is left alone at present.
-func (p *Pick) Resting(id string, now time.Time) bool {
+// InBackoff reports whether an upstream is in backoff.
+func (p *Pick) InBackoff(id string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, ok := p.loads[id]
-	return ok && now.Before(l.until)
+	l, ok := p.states[id]
+	return ok && now.Before(l.backoffUntil)
 }
--- a/internal/place/affinity.go
+++ b/internal/place/affinity.go
@@ -3,44 +3,44 @@
 import "time"
 
 const (
-	mostPrefixes = 4096
-	prefixLife   = 5 * time.Minute
+	maxPrefixes = 4096
+	prefixTTL   = 5 * time.Minute
 )
 
-// affinity remembers which runner last got each prompt prefix. It is learnt from this node's own choices,
-// so that it needs no cache events: those come late and with gaps.
+// affinity records which runner last received each prompt prefix. It is learnt from this node's own choices, since cache
+// events from the engines arrive late and with gaps.
 type affinity struct {
-	last map[string]sent
-	ring []string
-	next int
+	entries map[string]prefixEntry
+	ring    []string
+	next    int
 }
 
-type sent struct {
+type prefixEntry struct {
 	runner string
-	at     time.Time
+	sentAt time.Time
 }
 
 func newAffinity() *affinity {
-	return &affinity{last: map[string]sent{}, ring: make([]string, mostPrefixes)}
+	return &affinity{entries: map[string]prefixEntry{}, ring: make([]string, maxPrefixes)}
 }
 
-// put notes that prefix went to runner.
-func (a *affinity) put(now time.Time, prefix, runner string) {
+// record stores that prefix was sent to runner and drops the oldest prefix once the ring is full.
+func (a *affinity) record(now time.Time, prefix, runner string) {
 	if prefix == "" {
 		return
 	}
-	if _, known := a.last[prefix]; !known {
-		delete(a.last, a.ring[a.next])
+	if _, known := a.entries[prefix]; !known {
+		delete(a.entries, a.ring[a.next])
 		a.ring[a.next] = prefix
 		a.next = (a.next + 1) % len(a.ring)
 	}
-	a.last[prefix] = sent{runner: runner, at: now}
+	a.entries[prefix] = prefixEntry{runner: runner, sentAt: now}
 }
 
-// get returns the runner that likely caches prefix, or an empty name.
-func (a *affinity) get(now time.Time, prefix string) string {
-	s, known := a.last[prefix]
-	if !known || now.Sub(s.at) > prefixLife {
+// lookup returns the runner that likely caches prefix, or "" if none is known.
+func (a *affinity) lookup(now time.Time, prefix string) string {
+	s, known := a.entries[prefix]
+	if !known || now.Sub(s.sentAt) > prefixTTL {
 		return ""
 	}
 	return s.runner
--- a/internal/place/choice.go
+++ b/internal/place/choice.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	sweepEvery = 1024 // choices
-	lapse      = time.Hour
+	sweepInterval = 1024 // in choices
+	choiceTTL     = time.Hour
 )
 
-// choice is a request sent to a runner and not settled yet.
+// choice is a request that was sent to a runner and is not settled yet.
 type choice struct {
-	request string
-	runner  string
-	model   string
-	print   string
-	at      time.Time
-	probe   bool
-	alone   bool
+	request     string
+	runner      string
+	model       string
+	fingerprint string
+	chosenAt    time.Time
+	probe       bool
+	suspect     bool
 }
 
-// twin is a fingerprint with requests in flight, all on one runner.
-type twin struct {
-	runner string
-	flying int
+// duplicates counts the requests in flight that share a fingerprint; all of them are on one runner.
+type duplicates struct {
+	runner   string
+	inFlight int
 }
 
-// modelOf returns the model a call needs, empty for none.
+// modelOf returns the model that a call needs, or "" if it needs none.
 func modelOf(c call.Call) string {
 	if c.Adapter == "" {
 		return ""
@@ -38,48 +38,48 @@
 	return c.Model()
 }
 
-// note records a choice until it is settled.
-func (p *Place) note(now time.Time, c call.Call, t *target, probe bool) {
-	made := &choice{
-		request: c.Name(),
-		runner:  t.digest.Runner,
-		model:   modelOf(c),
-		print:   c.Print(),
-		at:      now,
-		probe:   probe,
-		alone:   c.Alone,
+// recordChoice stores a choice until it is settled.
+func (p *Place) recordChoice(now time.Time, c call.Call, t *target, probe bool) {
+	chosen := &choice{
+		request:     c.Name(),
+		runner:      t.digest.Runner,
+		model:       modelOf(c),
+		fingerprint: c.Print(),
+		chosenAt:    now,
+		probe:       probe,
+		suspect:     c.Alone,
 	}
-	p.serial++
-	if p.serial%sweepEvery == 0 {
-		p.sweep(now)
+	p.choiceCount++
+	if p.choiceCount%sweepInterval == 0 {
+		p.expireChoices(now)
 	}
-	p.count(now, made.model)
-	p.flying[c.Attempt] = made
-	t.recent = append(t.recent, made)
-	t.flying[made.model]++
-	if made.alone {
-		t.alone++
+	p.countRequest(now, chosen.model)
+	p.inFlight[c.Attempt] = chosen
+	t.recent = append(t.recent, chosen)
+	t.inFlight[chosen.model]++
+	if chosen.suspect {
+		t.suspectsInFlight++
 	}
-	p.prefix.put(now, c.Prefix, made.runner)
-	known := p.twins[made.print]
-	if known == nil {
-		known = &twin{}
-		p.twins[made.print] = known
+	p.prefixes.record(now, c.Prefix, chosen.runner)
+	dup := p.duplicates[chosen.fingerprint]
+	if dup == nil {
+		dup = &duplicates{}
+		p.duplicates[chosen.fingerprint] = dup
 	}
-	known.runner = made.runner
-	known.flying++
+	dup.runner = chosen.runner
+	dup.inFlight++
 }
 
-// sweep ends choices that nobody has settled, because the node that asked for them is gone. Kept, they would count on
-// their runners for good, and a model would seem to be on its way to a runner that never gets it.
-func (p *Place) sweep(now time.Time) {
-	for attempt, made := range p.flying {
-		if now.Sub(made.at) > lapse {
-			p.Settle(now, call.Call{Attempt: attempt}, made.runner, canceled())
+// expireChoices settles choices whose node is gone and will never settle them. Otherwise they would count as load on their
+// runners for good, and as pending loads of models that are never loaded.
+func (p *Place) expireChoices(now time.Time) {
+	for attempt, chosen := range p.inFlight {
+		if now.Sub(chosen.chosenAt) > choiceTTL {
+			p.Settle(now, call.Call{Attempt: attempt}, chosen.runner, abandonedRefusal())
 		}
 	}
 }
 
-func canceled() *refuse.Refusal {
-	return refuse.NewRefusal(verd.NotRun, refuse.Canceled, "the node that asked for the choice is gone")
+func abandonedRefusal() *refuse.Refusal {
+	return refuse.NewRefusal(verd.NotRun, refuse.Canceled, "the node that requested the choice is gone")
 }
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -12,41 +12,41 @@
 	"damaskreach/pkg/verd"
 )
 
-// Choose returns the runner for c, or why none can take it. Runners named in avoid are left out.
+// Choose returns the runner for c, or a refusal with the reason. Runners named in avoid are left out.
 func (p *Place) Choose(now time.Time, c call.Call, avoid []string) (digest.Digest, reason.Reason, *refuse.Refusal) {
-	open := p.open(c.Group, avoid)
+	open := p.openRunners(c.Group, avoid)
 	if len(open) == 0 && len(avoid) > 0 {
-		return p.full(c, p.open(c.Group, nil))
+		return p.refuseFull(c, p.openRunners(c.Group, nil))
 	}
 	if len(open) == 0 {
-		return p.none(c)
+		return p.refuseNoRunner(c)
 	}
-	if t := p.twin(c, open); t != nil {
-		return p.take(now, c, t, "twin", "the same request is in progress there")
+	if t := p.duplicateRunner(c, open); t != nil {
+		return p.assign(now, c, t, "twin", "the same request is in progress there")
 	}
 	if c.Alone {
-		return p.take(now, c, loneliest(open), "alone", "the request ran on an upstream that crashed")
+		return p.assign(now, c, fewestSuspects(open), "alone", "the request ran on an upstream that crashed")
 	}
-	if t := p.probe(now, c, open); t != nil {
-		return p.take(now, c, t, "probe", "the runner failed before and is probed")
+	if t := p.runnerToProbe(now, c, open); t != nil {
+		return p.assign(now, c, t, "probe", "the runner failed before and is probed")
 	}
-	well := slices.DeleteFunc(slices.Clone(open), func(t *target) bool { return t.ill() })
-	if len(well) == 0 {
-		well = open
+	healthy := slices.DeleteFunc(slices.Clone(open), func(t *target) bool { return t.unhealthy() })
+	if len(healthy) == 0 {
+		healthy = open
 	}
-	fitting := p.fitting(c, well)
+	fitting := p.withRoom(c, healthy)
 	if len(fitting) == 0 && !p.policy.Exact {
-		return p.full(c, well)
+		return p.refuseFull(c, healthy)
 	}
 	if len(fitting) == 0 {
-		return p.take(now, c, p.shortest(well), "full", "every queue looked full and this one the least so")
+		return p.assign(now, c, p.shortestQueue(healthy), "full", "every queue looked full and this one the least so")
 	}
-	t, kind, text := p.best(now, c, quiet(fitting))
-	return p.take(now, c, t, kind, text)
+	t, kind, text := p.bestRunner(now, c, withoutSuspects(fitting))
+	return p.assign(now, c, t, kind, text)
 }
 
-// open returns the runners of a group that take work, by name.
-func (p *Place) open(group string, avoid []string) []*target {
+// openRunners returns the runners of a group that accept requests, sorted by name.
+func (p *Place) openRunners(group string, avoid []string) []*target {
 	var found []*target
 	for name, t := range p.runners {
 		if t.digest.Group == group && !t.digest.Closed && !slices.Contains(avoid, name) {
@@ -57,65 +57,65 @@
 	return found
 }
 
-// twin returns the runner on which the same request is in flight. Sent elsewhere at the same time,
-// a request that crashes its upstream would take several of them down at once.
-func (p *Place) twin(c call.Call, open []*target) *target {
-	known := p.twins[c.Print()]
-	if known == nil {
+// duplicateRunner returns the runner on which a copy of c is in flight, or nil. If copies ran on several runners at once, a
+// request that crashes its upstream would take several of them down.
+func (p *Place) duplicateRunner(c call.Call, open []*target) *target {
+	dup := p.duplicates[c.Print()]
+	if dup == nil {
 		return nil
 	}
 	for _, t := range open {
-		if t.digest.Runner == known.runner && (c.Alone || t.fits(modelOf(c), p.tune.Queue)) {
+		if t.digest.Runner == dup.runner && (c.Alone || t.hasRoom(modelOf(c), p.tune.Queue)) {
 			return t
 		}
 	}
 	return nil
 }
 
-// probe returns a sick runner that is due for a request, or nil.
-func (p *Place) probe(now time.Time, c call.Call, open []*target) *target {
+// runnerToProbe returns an unhealthy runner that is due for a probe, or nil.
+func (p *Place) runnerToProbe(now time.Time, c call.Call, open []*target) *target {
 	for _, t := range open {
-		if t.ill() && t.health.due(now, c.Once) {
+		if t.unhealthy() && t.health.probeDue(now, c.Once) {
 			return t
 		}
 	}
 	return nil
 }
 
-// ill reports whether the runner is to be avoided.
-func (t *target) ill() bool {
-	return t.digest.Sick || t.health.sick()
+// unhealthy reports whether the runner is to be avoided.
+func (t *target) unhealthy() bool {
+	return t.digest.Sick || t.health.unhealthy()
 }
 
-// fitting returns the runners whose batch or queue has room for c. A call of raised priority fits everywhere:
-// a full owner refuses its least urgent request in its place.
-func (p *Place) fitting(c call.Call, from []*target) []*target {
+// withRoom returns the runners whose batch or queue has room for c. For a call of raised priority that is all of them: the
+// owner of a full runner refuses its least urgent request instead.
+func (p *Place) withRoom(c call.Call, from []*target) []*target {
 	if c.Priority > 0 {
 		return from
 	}
 	var found []*target
 	for _, t := range from {
-		if t.fits(modelOf(c), p.tune.Queue) {
+		if t.hasRoom(modelOf(c), p.tune.Queue) {
 			found = append(found, t)
 		}
 	}
 	return found
 }
 
-// shortest returns the runner with the fewest waiting requests. Where all queues looked full, digests may be behind,
-// and only the owner knows whose request is the least urgent one there: it refuses that one, which may be another.
-func (p *Place) shortest(from []*target) *target {
-	return slices.MinFunc(p.inTurn(from), func(a, b *target) int {
+// shortestQueue returns the runner with the fewest waiting requests. It is used where all queues look full: digests may lag,
+// and only the owner knows which of its requests is the least urgent one, to be refused in place of the new one.
+func (p *Place) shortestQueue(from []*target) *target {
+	return slices.MinFunc(p.rotate(from), func(a, b *target) int {
 		return cmp.Compare(a.digest.Waiting+len(a.recent), b.digest.Waiting+len(b.recent))
 	})
 }
 
-// take settles on a runner.
-func (p *Place) take(now time.Time, c call.Call, t *target, kind, text string) (digest.Digest, reason.Reason, *refuse.Refusal) {
-	probe := t.ill()
+// assign sends c to t and records the choice.
+func (p *Place) assign(now time.Time, c call.Call, t *target, kind, text string) (digest.Digest, reason.Reason, *refuse.Refusal) {
+	probe := t.unhealthy()
 	if probe {
 		t.health.probing = true
-		t.health.next = now.Add(max(firstProbe, t.health.wait))
+		t.health.nextProbe = now.Add(max(minProbeInterval, t.health.probeInterval))
 	}
 	why := reason.Reason{
 		Kind:    kind,
@@ -125,32 +125,32 @@
 		Running: t.digest.Running,
 		Waiting: t.digest.Waiting + len(t.recent),
 		Free:    t.digest.Free,
-		Wait:    p.wait(t, modelOf(c)),
+		Wait:    p.expectedWait(t, modelOf(c)),
 	}
-	p.note(now, c, t, probe)
+	p.recordChoice(now, c, t, probe)
 	return t.digest, why, nil
 }
 
-// none refuses a call for whose group no runner is known that takes work.
-func (p *Place) none(c call.Call) (digest.Digest, reason.Reason, *refuse.Refusal) {
+// refuseNoRunner refuses a call whose group has no known runner that accepts requests.
+func (p *Place) refuseNoRunner(c call.Call) (digest.Digest, reason.Reason, *refuse.Refusal) {
 	why := reason.Reason{Kind: refuse.NoUpstream, Text: "no runner of group " + c.Group + " takes work", Model: modelOf(c)}
-	refusal := refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "%s", why).WithRetry(firstProbe)
+	refusal := refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "%s", why).WithRetry(minProbeInterval)
 	return digest.Digest{}, why, refusal
 }
 
-// full refuses a call that every runner of its group is too full for.
-func (p *Place) full(c call.Call, open []*target) (digest.Digest, reason.Reason, *refuse.Refusal) {
+// refuseFull refuses a call because every runner of its group is full.
+func (p *Place) refuseFull(c call.Call, open []*target) (digest.Digest, reason.Reason, *refuse.Refusal) {
 	if len(open) == 0 {
-		return p.none(c)
+		return p.refuseNoRunner(c)
 	}
 	why := reason.Reason{Kind: refuse.Overloaded, Text: "every admission queue of group " + c.Group + " is full", Model: modelOf(c)}
 	for _, t := range open {
 		why.Running += t.digest.Running
 		why.Waiting += t.digest.Waiting + len(t.recent)
 	}
-	why.Wait = max(p.answer/time.Duration(max(1, why.Running)), leastRetry)
+	why.Wait = max(p.answerTime/time.Duration(max(1, why.Running)), minRetryAfter)
 	refusal := refuse.NewRefusal(verd.NotRun, refuse.Overloaded, "%s", why).WithRetry(why.Wait)
 	return digest.Digest{}, why, refusal
 }
 
-const leastRetry = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
--- a/internal/place/demand.go
+++ b/internal/place/demand.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	mostModels   = 8192
-	littleDemand = 0.05
+	maxModels = 8192
+	minDemand = 0.05
 )
 
-// Demand returns the decayed count of requests for the call's model that this home has placed.
-// The owner of the chosen runner gets it with the call and so knows what the model is worth to the whole site.
+// Demand returns the decayed count of requests for the call's model that this home has placed. It is sent with the call, so
+// that the owner of the chosen runner knows the demand for the model at the whole site.
 func (p *Place) Demand(now time.Time, c call.Call) float64 {
-	known := p.demand[modelOf(c)]
-	if known == nil || !p.policy.Copies {
+	count := p.demand[modelOf(c)]
+	if count == nil || !p.policy.Copies {
 		return 0
 	}
-	return known.At(now, p.tune.HalfLife)
+	return count.At(now, p.tune.HalfLife)
 }
 
-// Copies returns how many runners of a group have each model resident, for the owners' schedulers.
+// Copies returns, for the owners' schedulers, on how many runners of a group each model is resident.
 func (p *Place) Copies(group string) map[string]int {
 	counts := map[string]int{}
 	for _, t := range p.runners {
@@ -36,27 +36,27 @@
 	return counts
 }
 
-// count counts one request for a model.
-func (p *Place) count(now time.Time, model string) {
+// countRequest adds one request to the demand for a model.
+func (p *Place) countRequest(now time.Time, model string) {
 	if model == "" {
 		return
 	}
-	known := p.demand[model]
-	if known == nil {
-		p.trim(now)
-		known = &decay.Count{}
-		p.demand[model] = known
+	count := p.demand[model]
+	if count == nil {
+		p.trimDemand(now)
+		count = &decay.Count{}
+		p.demand[model] = count
 	}
-	known.Add(now, p.tune.HalfLife)
+	count.Add(now, p.tune.HalfLife)
 }
 
-// trim drops models that are hardly asked for any more once there are many.
-func (p *Place) trim(now time.Time) {
-	if len(p.demand) < mostModels {
+// trimDemand drops models with little demand once maxModels is reached.
+func (p *Place) trimDemand(now time.Time) {
+	if len(p.demand) < maxModels {
 		return
 	}
-	for model, known := range p.demand {
-		if known.At(now, p.tune.HalfLife) < littleDemand {
+	for model, count := range p.demand {
+		if count.At(now, p.tune.HalfLife) < minDemand {
 			delete(p.demand, model)
 		}
 	}
--- a/internal/place/health.go
+++ b/internal/place/health.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	sickAfter  = 3 // failures in a row
-	firstProbe = time.Second
-	mostProbe  = 15 * time.Second
+	unhealthyAfter   = 3 // consecutive failures
+	minProbeInterval = time.Second
+	maxProbeInterval = 15 * time.Second
 )
 
-// health tells a sick runner from a slow one: only failures make it sick, never the time an answer takes.
-// A sick runner gets one request at a time, at growing intervals, until one succeeds.
+// health is the failure state of a runner. Only failures make it unhealthy, never slow answers. An unhealthy runner gets
+// one probe request at a time, at growing intervals, until one succeeds.
 type health struct {
-	failures int // in a row
-	wait     time.Duration
-	next     time.Time // of the next probe
-	probing  bool
+	failures      int // consecutive
+	probeInterval time.Duration
+	nextProbe     time.Time
+	probing       bool
 }
 
-// sick reports whether the runner is avoided.
-func (h *health) sick() bool {
-	return h.failures >= sickAfter
+// unhealthy reports whether the runner has failed unhealthyAfter times in a row.
+func (h *health) unhealthy() bool {
+	return h.failures >= unhealthyAfter
 }
 
-// due reports whether a probe may be sent. A call that may not be repeated is only risked on one
-// where nothing else has probed the runner for long.
-func (h *health) due(now time.Time, once bool) bool {
-	next := h.next
+// probeDue reports whether a probe may be sent. A call that may not be repeated serves as a probe only if the last one is
+// overdue by maxProbeInterval.
+func (h *health) probeDue(now time.Time, once bool) bool {
+	next := h.nextProbe
 	if once {
-		next = next.Add(mostProbe)
+		next = next.Add(maxProbeInterval)
 	}
 	return !h.probing && !now.Before(next)
 }
 
-// settle takes an outcome in.
-func (h *health) settle(now time.Time, outcome *refuse.Refusal, probe bool) {
+// recordOutcome updates the state from the outcome of a request; nil means success.
+func (h *health) recordOutcome(now time.Time, outcome *refuse.Refusal, probe bool) {
 	if probe {
 		h.probing = false
 	}
@@ -45,18 +45,18 @@
 		*h = health{}
 		return
 	}
-	if !blames(outcome.Code) {
+	if !isRunnerFault(outcome.Code) {
 		return
 	}
 	h.failures++
-	if h.sick() {
-		h.wait = min(max(firstProbe, 2*h.wait), mostProbe)
-		h.next = now.Add(h.wait)
+	if h.unhealthy() {
+		h.probeInterval = min(max(minProbeInterval, 2*h.probeInterval), maxProbeInterval)
+		h.nextProbe = now.Add(h.probeInterval)
 	}
 }
 
-// blames reports whether an outcome speaks against the runner rather than against the request, its adapter or the load.
-func blames(code string) bool {
+// isRunnerFault reports whether a refusal code is due to the runner, not to the request, its adapter or the load.
+func isRunnerFault(code string) bool {
 	switch code {
 	case refuse.Cut, refuse.Crashed, refuse.NoUpstream, refuse.Internal:
 		return true
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,6 +1,6 @@
-// Package place decides which runner a request goes to.
+// Package place chooses the runner for each request.
 //
-// It does no I/O and starts no goroutines: time comes in as an argument and equal inputs give equal choices.
+// It does no I/O and starts no goroutines: the time is an argument, and equal inputs give equal choices.
 // A Place is used from one goroutine.
 package place
 
@@ -12,43 +12,43 @@
 	"damaskreach/internal/tune"
 )
 
-// Place is what a home node knows of the runners of its groups.
-// Every Choose that returns a runner is followed by one Settle.
+// Place holds what a home node knows about the runners of its groups.
+// Every Choose that returns a runner must be followed by one Settle.
 type Place struct {
-	tune    tune.Tune
-	policy  policy.Policy
-	runners map[string]*target
-	flying  map[string]*choice // by attempt
-	twins   map[string]*twin   // by fingerprint
-	prefix  *affinity
-	demand  map[string]*decay.Count // by model
-	loading int                     // models that runners are loading or wait to load
-	load    time.Duration           // of one adapter at the store's full speed
-	answer  time.Duration           // learnt time of one answer
-	serial  uint64                  // of the last choice, to break ties in turn
+	tune         tune.Tune
+	policy       policy.Policy
+	runners      map[string]*target
+	inFlight     map[string]*choice     // by attempt
+	duplicates   map[string]*duplicates // by fingerprint
+	prefixes     *affinity
+	demand       map[string]*decay.Count // by model
+	pendingLoads int                     // models that runners are loading or queueing to load
+	loadTime     time.Duration           // of one adapter with the store at full speed
+	answerTime   time.Duration           // smoothed duration of an answer
+	choiceCount  uint64                  // choices so far; rotates ties
 }
 
-// NewPlace returns a Place that knows no runners and follows the current policy.
+// NewPlace returns a Place without runners that follows the current policy.
 func NewPlace(t tune.Tune) *Place {
-	return NewVariant(t, policy.Current())
+	return NewWithPolicy(t, policy.Current())
 }
 
-// NewVariant returns a Place that follows p, for comparisons.
-func NewVariant(t tune.Tune, p policy.Policy) *Place {
+// NewWithPolicy returns a Place that follows p, to compare policies.
+func NewWithPolicy(t tune.Tune, p policy.Policy) *Place {
 	return &Place{
-		tune:    t,
-		policy:  p,
-		runners: map[string]*target{},
-		flying:  map[string]*choice{},
-		twins:   map[string]*twin{},
-		prefix:  newAffinity(),
-		demand:  map[string]*decay.Count{},
-		load:    usualLoad,
-		answer:  usualAnswer,
+		tune:       t,
+		policy:     p,
+		runners:    map[string]*target{},
+		inFlight:   map[string]*choice{},
+		duplicates: map[string]*duplicates{},
+		prefixes:   newAffinity(),
+		demand:     map[string]*decay.Count{},
+		loadTime:   initialLoadTime,
+		answerTime: initialAnswerTime,
 	}
 }
 
-// Tune puts new options in force.
-func (p *Place) Tune(t tune.Tune) {
+// SetTune replaces the options.
+func (p *Place) SetTune(t tune.Tune) {
 	p.tune = t
 }
--- a/internal/place/settle.go
+++ b/internal/place/settle.go
@@ -8,41 +8,41 @@
 	"damaskreach/pkg/refuse"
 )
 
-const smooth = 0.1 // weight of the newest sample
+const smoothing = 0.1 // weight of the newest sample
 
-// Settle ends a choice; an empty runner means whichever was chosen. The outcome is nil where the whole answer came, else why it did not.
+// Settle ends a choice; an empty runner stands for the one that was chosen. A nil outcome means that the answer was complete.
 func (p *Place) Settle(now time.Time, c call.Call, runner string, outcome *refuse.Refusal) {
-	made := p.flying[c.Attempt]
-	if made == nil || made.runner != runner && runner != "" {
+	chosen := p.inFlight[c.Attempt]
+	if chosen == nil || chosen.runner != runner && runner != "" {
 		return
 	}
-	runner = made.runner
-	delete(p.flying, c.Attempt)
-	p.separate(made)
+	runner = chosen.runner
+	delete(p.inFlight, c.Attempt)
+	p.removeDuplicate(chosen)
 	if outcome == nil {
-		p.answer += time.Duration(smooth * float64(now.Sub(made.at)-p.answer))
+		p.answerTime += time.Duration(smoothing * float64(now.Sub(chosen.chosenAt)-p.answerTime))
 	}
 	t := p.runners[runner]
 	if t == nil {
 		return
 	}
-	if made.alone {
-		t.alone--
+	if chosen.suspect {
+		t.suspectsInFlight--
 	}
-	if t.flying[made.model]--; t.flying[made.model] <= 0 {
-		delete(t.flying, made.model)
+	if t.inFlight[chosen.model]--; t.inFlight[chosen.model] <= 0 {
+		delete(t.inFlight, chosen.model)
 	}
-	t.recent = slices.DeleteFunc(t.recent, func(c *choice) bool { return c == made })
-	t.health.settle(now, outcome, made.probe)
+	t.recent = slices.DeleteFunc(t.recent, func(c *choice) bool { return c == chosen })
+	t.health.recordOutcome(now, outcome, chosen.probe)
 }
 
-// separate takes one request off its fingerprint.
-func (p *Place) separate(made *choice) {
-	known := p.twins[made.print]
-	if known == nil {
+// removeDuplicate takes one request off the count of its fingerprint.
+func (p *Place) removeDuplicate(chosen *choice) {
+	dup := p.duplicates[chosen.fingerprint]
+	if dup == nil {
 		return
 	}
-	if known.flying--; known.flying <= 0 {
-		delete(p.twins, made.print)
+	if dup.inFlight--; dup.inFlight <= 0 {
+		delete(p.duplicates, chosen.fingerprint)
 	}
 }
--- a/internal/place/target.go
+++ b/internal/place/target.go
@@ -7,40 +7,40 @@
 	"damaskreach/internal/digest"
 )
 
-// target is a runner as its owner's latest digest and this node's own choices show it.
+// target is the state of a runner, from its owner's latest digest and this node's own choices.
 type target struct {
-	digest  digest.Digest
-	learned time.Time
-	health  health
-	recent  []*choice      // own choices that the digest does not reflect yet
-	flying  map[string]int // own choices in flight by model
-	alone   int            // own choices in flight that are suspects
+	digest           digest.Digest
+	updatedAt        time.Time
+	health           health
+	recent           []*choice      // own choices not yet reflected in the digest
+	inFlight         map[string]int // own choices in flight, by model
+	suspectsInFlight int            // own suspected requests in flight
 }
 
-// load returns the requests on the runner, own ones not yet reflected included.
-func (t *target) load() int {
+// requests returns the number of requests on the runner, including own ones that the digest does not reflect yet.
+func (t *target) requests() int {
 	return t.digest.Running + t.digest.Waiting + len(t.recent)
 }
 
-// batch returns how many requests a step can hold.
-func (t *target) batch() int {
+// batchSize returns how many requests fit into a batch.
+func (t *target) batchSize() int {
 	return max(1, t.digest.Batch)
 }
 
-// has reports whether a model is resident; the empty model always is.
-func (t *target) has(model string) bool {
+// hasModel reports whether a model is resident; the empty model always is.
+func (t *target) hasModel(model string) bool {
 	return model == "" || slices.Contains(t.digest.Resident, model)
 }
 
-// coming reports whether a model is being loaded or has been sent for.
-func (t *target) coming(model string) bool {
-	return t.flying[model] > 0 || slices.Contains(t.digest.Loading, model)
+// isLoading reports whether a model is being loaded or a request that needs it is in flight.
+func (t *target) isLoading(model string) bool {
+	return t.inFlight[model] > 0 || slices.Contains(t.digest.Loading, model)
 }
 
-// fits reports whether the runner would take one more request for a model. While its batch has room,
-// everything that waits there waits for loads, and a request for a resident model starts past it.
-func (t *target) fits(model string, queue int) bool {
-	if t.has(model) && t.digest.Running+len(t.recent) < t.batch() {
+// hasRoom reports whether the runner would accept one more request for a model. While its batch has room, all queued
+// requests wait for loads, and a request for a resident model overtakes them.
+func (t *target) hasRoom(model string, queue int) bool {
+	if t.hasModel(model) && t.digest.Running+len(t.recent) < t.batchSize() {
 		return true
 	}
 	return t.digest.Waiting+len(t.recent) < max(1, queue)
--- a/internal/proxy/ask.go
+++ b/internal/proxy/ask.go
@@ -33,7 +33,7 @@
 	w.Loaded = true
 	err := p.requestTurn(ctx, j, w)
 	if errors.Is(err, intent.ErrPromptQueueFull) {
-		p.Pick.Waits(t.ID, intent.WaitOf(err), time.Now())
+		p.Pick.SetWait(t.ID, intent.WaitOf(err), time.Now())
 	}
 	if err != nil {
 		j.addNote(intent.Code(err))
--- a/internal/proxy/blame_test.go
+++ b/internal/proxy/blame_test.go
@@ -64,7 +64,7 @@
 func (b *bench) countBackedOff() int {
 	n := 0
 	for id := range b.view.Targets {
-		if b.Pick.Resting(id, time.Now()) {
+		if b.Pick.InBackoff(id, time.Now()) {
 			n++
 		}
 	}
@@ -77,7 +77,7 @@
 	if got := b.countBackedOff(); got != n {
 		b.t.Errorf("upstreams in backoff = %d, want %d", got, n)
 	}
-	if got := len(b.Blame.News()); got != n {
+	if got := len(b.Blame.TakePending()); got != n {
 		b.t.Errorf("breaks recorded = %d, want %d", got, n)
 	}
 }
--- a/internal/proxy/fake_test.go
+++ b/internal/proxy/fake_test.go
@@ -129,7 +129,7 @@
 		StoreDown: func() bool { return b.storeDown },
 		ViewAge:   func() time.Duration { return 0 },
 		Spare: &spare.Spare{
-			Hosts: func() int { return 1 }, Clock: func() time.Duration { return time.Since(b.start) }, Begun: -10 * time.Second,
+			Hosts: func() int { return 1 }, Clock: func() time.Duration { return time.Since(b.start) }, StartedAt: -10 * time.Second,
 			Bound: func() (float64, float64, time.Duration) { return 0.2, 100, 10 * time.Second },
 		},
 		Stats: stats.NewStats(),
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -67,9 +67,9 @@
 	if len(usable) == 0 {
 		return target.Target{}
 	}
-	best := p.chooseSteady(rankByHash(j.req.Adapter, usable, p.Speeds.Slow), now)
+	best := p.chooseSteady(rankByHash(j.req.Adapter, usable, p.Speeds.Slowdown), now)
 	for _, t := range usable {
-		if p.Holds.Left(t, j.req.Adapter) && p.Pick.Busy(t.ID, now) <= 2*p.Pick.Busy(best.ID, now)+crowdedExtra {
+		if p.Holds.CachedAt(t, j.req.Adapter) && p.Pick.WeightedLoad(t.ID, now) <= 2*p.Pick.WeightedLoad(best.ID, now)+crowdedExtra {
 			return t
 		}
 	}
@@ -79,13 +79,13 @@
 // chooseSteady returns the first of the hashed engines that is not much busier than the others. Hosts that get requests for one
 // adapter at the same time thus choose the same engine; by the momentary load alone, they would have it loaded to several.
 func (p *Proxy) chooseSteady(top []target.Target, now time.Time) target.Target {
-	minBusy, minWaiting := p.Pick.Busy(top[0].ID, now), p.Pick.Waiting(top[0].ID, now)
+	minBusy, minWaiting := p.Pick.WeightedLoad(top[0].ID, now), p.Pick.Wait(top[0].ID, now)
 	for _, t := range top[1:] {
-		minBusy = min(minBusy, p.Pick.Busy(t.ID, now))
-		minWaiting = min(minWaiting, p.Pick.Waiting(t.ID, now))
+		minBusy = min(minBusy, p.Pick.WeightedLoad(t.ID, now))
+		minWaiting = min(minWaiting, p.Pick.Wait(t.ID, now))
 	}
 	for _, t := range top {
-		if p.Pick.Busy(t.ID, now) <= crowdedRatio*minBusy+crowdedExtra && p.Pick.Waiting(t.ID, now) <= minWaiting+longWait {
+		if p.Pick.WeightedLoad(t.ID, now) <= crowdedRatio*minBusy+crowdedExtra && p.Pick.Wait(t.ID, now) <= minWaiting+longWait {
 			return t
 		}
 	}
@@ -99,7 +99,7 @@
 
 // loadable reports whether an engine has an owner and is not in backoff.
 func (p *Proxy) loadable(id string, now time.Time) bool {
-	return !p.Pick.Resting(id, now) && p.CanLoad(id)
+	return !p.Pick.InBackoff(id, now) && p.CanLoad(id)
 }
 
 // rankByHash returns the few engines that an adapter hashes to, by rendezvous hashing weighted by speed. The choice is stable,
@@ -161,7 +161,7 @@
 		cancel()
 		if err == nil && p.usable(t) {
 			j.note = "loaded"
-			p.Holds.Hit(t.ID, j.req.Adapter)
+			p.Holds.ClearMiss(t.ID, j.req.Adapter)
 			return t, version, nil
 		}
 		p.Log.Info("load failed", zap.String("request", j.req.ID), zap.String("adapter", j.req.Adapter), zap.String("target", t.ID),
@@ -225,7 +225,7 @@
 	defer cancel()
 	err := p.Admit(ctx, intent.Intent{EngineID: t.ID, Model: j.req.Model, Adapter: j.req.Adapter, Version: version, Background: true})
 	if err == nil {
-		p.Holds.Hit(t.ID, j.req.Adapter)
+		p.Holds.ClearMiss(t.ID, j.req.Adapter)
 	}
 	p.Log.Info("adapter replica load ended", zap.String("adapter", j.req.Adapter), zap.String("target", t.ID), zap.Int("version", version),
 		zap.Error(err))
--- a/internal/proxy/mover.go
+++ b/internal/proxy/mover.go
@@ -55,7 +55,7 @@
 	template.w, template.tried, template.turn = nil, maps.Clone(j.tried), turn{}
 	template.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "%s paused for too long", t.ID))
 	m.find = func(ctx context.Context) (placement, bool) {
-		if !p.Spare.May(template.group) {
+		if !p.Spare.CanRetry(template.group) {
 			return placement{}, false
 		}
 		attempt := template
@@ -76,7 +76,7 @@
 
 // movable reports whether a stream in progress may continue at another engine.
 func (p *Proxy) movable(j *job) bool {
-	return j.mayRunAgain() && j.sends < maxSends && !p.Blame.Barred(j.fingerprint, time.Now())
+	return j.mayRunAgain() && j.sends < maxSends && !p.Blame.Blocked(j.fingerprint, time.Now())
 }
 
 // search finds another engine and cuts the stream off, unless the stream resumes by itself first.
--- a/internal/proxy/noanswer.go
+++ b/internal/proxy/noanswer.go
@@ -54,7 +54,7 @@
 	if verdict != verd.NotRun && ctx.Err() == nil {
 		p.recordBreak(j, t, false)
 	}
-	p.Pick.Rest(t.ID, now)
+	p.Pick.BackOff(t.ID, now)
 	p.Log.Info("send failed", zap.String("request", j.req.ID), zap.String("target", t.ID), zap.Stringer("verdict", verdict),
 		zap.Int("sends", j.sends), zap.Duration("since", now.Sub(j.start)), zap.Error(err))
 	code := refuse.Crashed
@@ -62,7 +62,7 @@
 		code = refuse.NoUpstream
 	}
 	j.recordFailure(t.ID, refuse.NewRefusal(j.verdict(), code, "sending to %s failed", t.ID).WithRetry(defaultRetry))
-	if verdict == verd.NotRun || j.allowResend() && !p.Blame.Barred(j.fingerprint, now) {
+	if verdict == verd.NotRun || j.allowResend() && !p.Blame.Blocked(j.fingerprint, now) {
 		return false
 	}
 	p.refuse(j.w, j, j.lastRefusal)
@@ -86,7 +86,7 @@
 }
 
 func (p *Proxy) countBreak(id, fingerprint string, t target.Target, now time.Time) {
-	if n := p.Blame.Broke(fingerprint, incarnation(t), now); n > 1 {
+	if n := p.Blame.RecordBreak(fingerprint, incarnation(t), now); n > 1 {
 		p.Log.Info("several upstreams broke off while running one request", zap.String("request", id), zap.String("print", fingerprint),
 			zap.String("target", t.ID), zap.Int("upstreams", n))
 	}
--- a/internal/proxy/notice.go
+++ b/internal/proxy/notice.go
@@ -27,11 +27,11 @@
 		p.Log.Info("upstream asks for rest", zap.String("target", t.ID), zap.Duration("rest", n.Rest))
 	}
 	// A notice that cannot be read does not mean that a limit has ended.
-	if err == nil && p.Ration.Hear(t.ID, n) {
+	if err == nil && p.Ration.Observe(t.ID, n) {
 		p.Log.Info("upstream's limit", zap.String("target", t.ID), zap.Bool("limited", n.Limited), zap.Float64("limit", n.Limit))
 		go p.AnnounceLimit(t.ID)
 	}
-	if err == nil && p.Flight.Hear(t, n) {
+	if err == nil && p.Flight.Observe(t, n) {
 		p.Log.Info("upstream's brittleness", zap.String("target", t.ID), zap.Int("bears", n.Brittle))
 		go p.AnnounceLimit(t.ID)
 	}
--- a/internal/proxy/permit.go
+++ b/internal/proxy/permit.go
@@ -76,7 +76,7 @@
 	if !brittle && !p.Ration.Limited(t.ID) {
 		return nil
 	}
-	if wait := p.Pick.Waiting(t.ID, time.Now()); brittle && wait > 0 {
+	if wait := p.Pick.Wait(t.ID, time.Now()); brittle && wait > 0 {
 		return intent.NewPromptQueueFull(wait) // from the reply to another request a moment ago
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
@@ -92,7 +92,7 @@
 		err = intent.NewPromptQueueFull(uncountedWait)
 	}
 	j.addNote("over-limit")
-	p.Pick.Waits(t.ID, intent.WaitOf(err), time.Now())
+	p.Pick.SetWait(t.ID, intent.WaitOf(err), time.Now())
 	return err
 }
 
@@ -108,7 +108,7 @@
 // preferUnlimited returns the upstreams without a rate limit, or all if there are none: limited ones get no further adapters
 // while others have room.
 func (p *Proxy) preferUnlimited(list []target.Target) []target.Target {
-	if !p.Ration.Some() {
+	if !p.Ration.AnyLimited() {
 		return list
 	}
 	unlimited := filter(list, func(t target.Target) bool { return !p.Ration.Limited(t.ID) })
--- a/internal/proxy/permit_test.go
+++ b/internal/proxy/permit_test.go
@@ -17,7 +17,7 @@
 // limitUpstreams tells the host that each of the upstreams accepts one request per second.
 func (b *bench) limitUpstreams(ids ...string) {
 	for _, id := range ids {
-		b.Ration.Hear(id, notice.Notice{Limited: true, Limit: 1})
+		b.Ration.Observe(id, notice.Notice{Limited: true, Limit: 1})
 	}
 }
 
--- a/internal/proxy/place.go
+++ b/internal/proxy/place.go
@@ -121,12 +121,12 @@
 		}
 	}
 	// Engines with a rate limit count only if there are no others.
-	return p.Ration.Some() && len(p.idleEngines(j, except(list, holders, nil), now)) > 0
+	return p.Ration.AnyLimited() && len(p.idleEngines(j, except(list, holders, nil), now)) > 0
 }
 
 // isIdle reports whether a prompt would hardly wait at an engine, and still be on time after a load there.
 func (p *Proxy) isIdle(j *job, id string, now time.Time) bool {
-	return p.Pick.Waiting(id, now) < longWait && j.waitBudget(now, p.firstEventDelay(j, id)) >= longWait
+	return p.Pick.Wait(id, now) < longWait && j.waitBudget(now, p.firstEventDelay(j, id)) >= longWait
 }
 
 // stillServing returns the engines whose version of the request's adapter was replaced recently enough to still serve, and
@@ -163,18 +163,18 @@
 
 // available returns the upstreams that are not in backoff.
 func (p *Proxy) available(list []target.Target, now time.Time) []target.Target {
-	return filter(list, func(t target.Target) bool { return !p.Pick.Resting(t.ID, now) })
+	return filter(list, func(t target.Target) bool { return !p.Pick.InBackoff(t.ID, now) })
 }
 
 // isCrowded reports whether the least busy of an adapter's engines is much busier than the mean, or nearly full.
 func (p *Proxy) isCrowded(holders, able []target.Target, now time.Time) bool {
 	best := p.Pick.Order(holders, now)[0]
-	if float64(p.Pick.Load(best.ID, now)) > fullShare*float64(best.Slots) {
+	if float64(p.Pick.Running(best.ID, now)) > fullShare*float64(best.Slots) {
 		return true
 	}
-	busy := p.Pick.Busy(best.ID, now)
+	busy := p.Pick.WeightedLoad(best.ID, now)
 	// The first check avoids computing the mean for most engines.
-	return busy > crowdedExtra && busy > crowdedRatio*p.Pick.Mean(able, now)+crowdedExtra
+	return busy > crowdedExtra && busy > crowdedRatio*p.Pick.MeanLoad(able, now)+crowdedExtra
 }
 
 // addReplica has an adapter loaded at one more engine, without waiting for it.
@@ -238,7 +238,7 @@
 // noTurn returns the refusal of a request that gets no turn in time at any engine that holds its adapter. Sent anyway, its
 // prompt would delay the streams of others. The caller retries once the prompts that are queued now should have been read.
 func (p *Proxy) noTurn(j *job, t target.Target) *refuse.Refusal {
-	wait := max(defaultRetry, p.Pick.Waiting(t.ID, time.Now()))
+	wait := max(defaultRetry, p.Pick.Wait(t.ID, time.Now()))
 	left := time.Until(j.sendDeadline()).Round(time.Millisecond)
 	return refuse.NewRefusal(j.verdict(), refuse.Overloaded, "no engine can take the prompt within %v", left).WithRetry(wait)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -190,8 +190,8 @@
 	if refusal := p.readBody(w, r, j); refusal != nil {
 		return refusal
 	}
-	j.fingerprint = blame.Print(j.req.Method, j.req.Host, j.req.URI, j.req.Adapter, string(j.req.Body))
-	if p.Blame.Barred(j.fingerprint, time.Now()) {
+	j.fingerprint = blame.Fingerprint(j.req.Method, j.req.Host, j.req.URI, j.req.Adapter, string(j.req.Body))
+	if p.Blame.Blocked(j.fingerprint, time.Now()) {
 		return refuse.NewRefusal(verd.NotRun, refuse.Suspect, "upstreams broke off while they ran earlier attempts").WithRetry(suspectRetry)
 	}
 	return nil
--- a/internal/proxy/refuse_test.go
+++ b/internal/proxy/refuse_test.go
@@ -136,7 +136,7 @@
 		t.Error("an answer was written, want none")
 	}
 	for id := range b.view.Targets {
-		if b.Pick.Resting(id, time.Now()) {
+		if b.Pick.InBackoff(id, time.Now()) {
 			t.Errorf("%s is in backoff, want it used", id)
 		}
 	}
@@ -172,8 +172,8 @@
 		b.add("one", map[string]int{"m/a": 1})
 		b.add("two", map[string]int{"m/a": 1})
 		b.busy = map[string]bool{"one": true, "two": true}
-		b.Pick.Waits("one", 1500*time.Millisecond, time.Now())
-		b.Pick.Waits("two", 1500*time.Millisecond, time.Now())
+		b.Pick.SetWait("one", 1500*time.Millisecond, time.Now())
+		b.Pick.SetWait("two", 1500*time.Millisecond, time.Now())
 		rec, _ := b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
 		if got, want := rec.Code, http.StatusServiceUnavailable; got != want {
 			t.Errorf("status = %d, want %d", got, want)
@@ -192,7 +192,7 @@
 	b := newBench(t, route.Route{Kind: kinds.Stream, Target: time.Second})
 	b.add("one", map[string]int{"m/a": 1})
 	b.busy = map[string]bool{"one": true}
-	b.Pick.Waits("one", 1500*time.Millisecond, time.Now())
+	b.Pick.SetWait("one", 1500*time.Millisecond, time.Now())
 	b.setAnswers(func(s sent) (resp.Resp, error) {
 		if got, want := s.addr, "two:1"; got != want {
 			t.Errorf("sent to %s, want %s", got, want)
@@ -228,7 +228,7 @@
 	b.add("three", map[string]int{"m/a": 1})
 	b.turnWaits = map[string]time.Duration{"one": 900 * time.Millisecond, "two": 100 * time.Millisecond, "three": 800 * time.Millisecond}
 	for _, busy := range []string{"two", "three"} {
-		b.Pick.Told(busy, 3, time.Now())
+		b.Pick.SetReported(busy, 3, time.Now())
 	}
 	b.setAnswers(answers(http.StatusOK, nil, "id: 1\ndata: x\n\n", nil))
 	b.call(http.Header{"M": {"m"}, "A": {"m/a"}})
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -65,7 +65,7 @@
 		zap.Duration("since", now.Sub(j.start)), zap.Bool("silent", end == endStalled || end == endMoved),
 		zap.Bool("held", end == endCallerSlow), zap.Error(err))
 	if end != endCallerSlow {
-		p.Pick.Rest(t.ID, now)
+		p.Pick.BackOff(t.ID, now)
 	}
 	if end == endStalled {
 		p.refuse(j.w, j, timeoutRefusal(t))
@@ -79,7 +79,7 @@
 		j.movedFrom = &t
 		return false
 	}
-	if j.allowResend() && !p.Blame.Barred(j.fingerprint, now) {
+	if j.allowResend() && !p.Blame.Blocked(j.fingerprint, now) {
 		return false
 	}
 	p.refuse(j.w, j, j.lastRefusal)
@@ -141,7 +141,7 @@
 func (p *Proxy) recordFirstEvent(j *job, id string) {
 	j.firstByteAt = time.Now()
 	if j.sends == 1 && j.req.Prompt > 0 {
-		p.Speeds.First(id, j.req.Prompt, j.firstByteAt.Sub(j.sentAt))
+		p.Speeds.AddPrompt(id, j.req.Prompt, j.firstByteAt.Sub(j.sentAt))
 	}
 }
 
@@ -150,7 +150,7 @@
 	now := time.Now()
 	if !j.lastEventAt.IsZero() {
 		j.longestPause = max(j.longestPause, now.Sub(j.lastEventAt))
-		p.Speeds.Event(id, now.Sub(j.lastEventAt), now)
+		p.Speeds.AddGap(id, now.Sub(j.lastEventAt), now)
 	}
 	j.lastEventAt = now
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -78,8 +78,8 @@
 		return placement{}, refusal
 	}
 	if j.sends == 0 {
-		p.Spare.First(j.group)
-	} else if !p.Spare.Again(j.group) {
+		p.Spare.CountFirst(j.group)
+	} else if !p.Spare.TryRetry(j.group) {
 		return placement{}, j.lastRefusal
 	}
 	return placement{t, version, j.turn}, nil
@@ -183,7 +183,7 @@
 	}
 	now := time.Now()
 	if r.Status == http.StatusMisdirectedRequest && j.req.Adapter != "" {
-		p.Holds.Miss(t.ID, j.req.Adapter, now)
+		p.Holds.RecordMiss(t.ID, j.req.Adapter, now)
 	}
 	j.rejectedFull = r.Status == http.StatusServiceUnavailable
 	if j.rejectedFull && p.Flight.Brittle(t) {
--- a/internal/proxy/stopping_test.go
+++ b/internal/proxy/stopping_test.go
@@ -67,7 +67,7 @@
 		b.wantAnsweredAtStop(rec, http.StatusBadGateway)
 		b.wantMetrics(`code="leaving",verdict="may-have-run"} 1`, `outcome="left"} 1`)
 		for id := range b.view.Targets {
-			if b.Pick.Resting(id, time.Now()) {
+			if b.Pick.InBackoff(id, time.Now()) {
 				t.Errorf("%s is in backoff, want it used", id)
 			}
 		}
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,7 +1,7 @@
-// Package quotas counts what teams use of their limits, for the parts of the limits that this host holds.
+// Package quotas counts the units that teams use, for the shards of the limits that this host holds.
 //
-// Each part lies at one host at a time, by its lease. A host that gets a part does not know what the one before it gave out, and takes
-// the part for empty: what it gives out from then on, together with all that any host gave out before, stays within the limit.
+// Each shard is leased to one host at a time. A host that gains a shard doesn't know what the former holder gave out and starts
+// with empty buckets: what it gives out, together with all that former holders gave out, stays within the limit.
 package quotas
 
 import (
@@ -16,111 +16,111 @@
 )
 
 const (
-	// checkEvery is how often parts gained or lost are noticed.
-	checkEvery = 100 * time.Millisecond
-	// idleFor is how long a team's count is kept without a request.
-	idleFor = 5 * time.Minute
+	// checkInterval is how often gained shards are detected.
+	checkInterval = 100 * time.Millisecond
+	// idleTTL is how long a team's count is kept without requests.
+	idleTTL = 5 * time.Minute
 )
 
-// Quotas may be used from several goroutines. Its fields are set before Run.
+// Quotas is safe for concurrent use. Its fields are set before Run.
 type Quotas struct {
-	// Parts returns the parts of the limits that there are.
-	Parts func() []string
-	// Held returns the token by which this host holds a part now, and since when; false means that it does not.
-	Held  func(part string) (fence int64, since time.Duration, ok bool)
-	Clock func() time.Duration // goes on through suspensions
-	Life  string               // tells this process from another on the same host
+	// Shards returns the names of all shards of the limits.
+	Shards func() []string
+	// Held returns the fencing token under which this host holds a shard, and since when; ok is false if it doesn't.
+	Held  func(shard string) (fence int64, since time.Duration, ok bool)
+	Clock func() time.Duration // also advances while the machine is suspended
+	Life  string               // identifies this process among others on the same host
 
-	mu    sync.Mutex
-	parts map[string]*part
+	mu     sync.Mutex
+	shards map[string]*shard
 }
 
-// part is one part that this host holds or held last.
-type part struct {
+// shard is a shard that this host holds or held last.
+type shard struct {
 	fence int64
-	since time.Duration // when this host began to hold it; nothing was given out from then on but by this process
-	teams map[string]*count
+	since time.Duration // start of the lease; only this process has given out units since
+	teams map[string]*teamCount
 }
 
-type count struct {
-	bucket  *bucket.Bucket
-	version int64
-	used    time.Duration // when it was last charged
+type teamCount struct {
+	bucket     *bucket.Bucket
+	version    int64
+	lastCharge time.Duration // when it was last charged
 }
 
-// Run notices parts that this host gains until ctx ends: units come in from then on, and not from the first request on.
+// Run detects gained shards until ctx ends, so that their buckets fill from then on, not only from the first request on.
 func (q *Quotas) Run(ctx context.Context) {
-	for range ticker.Repeat(ctx, checkEvery, nil) {
-		q.check()
+	for range ticker.Repeat(ctx, checkInterval, nil) {
+		q.checkShards()
 	}
 }
 
-func (q *Quotas) check() {
+func (q *Quotas) checkShards() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.Clock()
-	for _, name := range q.Parts() {
-		if p := q.held(name); p != nil {
-			p.forget(now)
+	for _, name := range q.Shards() {
+		if p := q.heldShard(name); p != nil {
+			p.dropIdle(now)
 		}
 	}
 }
 
-// held returns a part that this host holds; nil where it does not.
-func (q *Quotas) held(name string) *part {
+// heldShard returns a shard that this host holds, or nil.
+func (q *Quotas) heldShard(name string) *shard {
 	fence, since, ok := q.Held(name)
 	if !ok {
 		return nil
 	}
-	if p := q.parts[name]; p != nil && p.fence == fence {
+	if p := q.shards[name]; p != nil && p.fence == fence {
 		return p
 	}
-	if q.parts == nil {
-		q.parts = map[string]*part{}
+	if q.shards == nil {
+		q.shards = map[string]*shard{}
 	}
-	q.parts[name] = &part{fence: fence, since: since, teams: map[string]*count{}}
-	return q.parts[name]
+	q.shards[name] = &shard{fence: fence, since: since, teams: map[string]*teamCount{}}
+	return q.shards[name]
 }
 
-func (p *part) forget(now time.Duration) {
+func (p *shard) dropIdle(now time.Duration) {
 	for name, c := range p.teams {
-		if now-c.used > idleFor && c.bucket.Idle(now) {
+		if now-c.lastCharge > idleTTL && c.bucket.Full(now) {
 			delete(p.teams, name)
 		}
 	}
 }
 
-// Charge decides on a charge, or takes back what was not used.
+// Charge grants or refuses a charge, or takes back unused units if they are negative.
 func (q *Quotas) Charge(c charge.Charge) ruling.Ruling {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.Clock()
-	p := q.held(c.Part)
+	p := q.heldShard(c.Part)
 	if p == nil {
 		return ruling.Ruling{}
 	}
-	of := p.count(c, now)
+	counter := p.countOf(c, now)
 	if c.Units < 0 {
 		if c.Life == q.Life {
-			of.bucket.Return(now, -c.Units, c.Taken)
+			counter.bucket.Return(now, -c.Units, c.Taken)
 		}
 		return ruling.Ruling{Counts: true}
 	}
-	taken, wait := of.bucket.Take(now, c.Units, c.Over)
+	taken, wait := counter.bucket.Take(now, c.Units, c.Over)
 	return ruling.Ruling{Counts: true, Units: taken, Wait: wait, Life: q.Life, Taken: now}
 }
 
-// count returns the count of a team under the newest limit that is known of.
-func (p *part) count(c charge.Charge, now time.Duration) *count {
-	of := p.teams[c.Team]
-	if of == nil {
-		of = &count{bucket: bucket.NewBucket(c.Rate, c.Burst, p.since), version: c.Version}
-		p.teams[c.Team] = of
+// countOf returns the count of a team, under the newest known version of its limit.
+func (p *shard) countOf(c charge.Charge, now time.Duration) *teamCount {
+	counter := p.teams[c.Team]
+	if counter == nil {
+		counter = &teamCount{bucket: bucket.NewBucket(c.Rate, c.Burst, p.since), version: c.Version}
+		p.teams[c.Team] = counter
 	}
-	if c.Version > of.version {
-		of.bucket.Limit(now, c.Rate, c.Burst)
-		of.version = c.Version
+	if c.Version > counter.version {
+		counter.bucket.SetLimit(now, c.Rate, c.Burst)
+		counter.version = c.Version
 	}
-	of.used = now
-	return of
+	counter.lastCharge = now
+	return counter
 }
--- a/internal/ration/ration.go
+++ b/internal/ration/ration.go
@@ -1,7 +1,7 @@
-// Package ration keeps to the limits that upstreams name of themselves: how many requests a second they take from all hosts together.
+// Package ration enforces the rate limits that upstreams announce: the requests a second that they accept from all hosts.
 //
-// For each upstream one host counts: the one that gives it its orders, or one that all agree on. Hosts tell it what they heard in answers and
-// how long ago, and the newest counts, so that a host which begins to count needs nothing of the one before.
+// One host counts for each upstream: its owner, or one that all agree on. The others send it the limits
+// they saw in answers, with their ages, and the newest wins; so a host that takes over counting needs no state.
 package ration
 
 import (
@@ -14,70 +14,70 @@
 )
 
 const (
-	// leastRate, in requests a second, goes to upstreams that take fewer or none: only an answer tells that the need is over.
-	leastRate = 0.25
-	// burstFor is the time whose requests may go at once.
-	burstFor = time.Second
+	// minRate, in requests a second, applies to upstreams that accept fewer or none: only an answer can end a limit.
+	minRate = 0.25
+	// burstInterval is the time whose requests may be sent at once.
+	burstInterval = time.Second
 )
 
-// Ration may be used from several goroutines.
+// Ration holds the limits of upstreams. It is safe for concurrent use.
 type Ration struct {
-	clock   func() time.Duration
-	limited atomic.Int64 // upstreams with a limit; asked for each upstream at many requests, and mostly there are none
+	clock        func() time.Duration
+	limitedCount atomic.Int64 // upstreams with a limit; checked for each upstream of many requests and mostly 0
 
 	mu     sync.Mutex
 	limits map[string]*limit
 }
 
-// limit is what one upstream has named last.
+// limit is the newest limit of one upstream.
 type limit struct {
-	rate   float64        // requests a second; 0 where the newest answer names none
-	at     time.Duration  // of the newest answer
-	bucket *bucket.Bucket // nil where there is no limit
+	rate      float64        // requests a second; 0 for no limit
+	updatedAt time.Duration  // of the newest answer
+	bucket    *bucket.Bucket // nil without a limit
 }
 
-// NewRation returns one that has heard of no limit. The clock goes on through suspensions.
+// NewRation returns a Ration without limits. The clock must also advance while the machine is suspended.
 func NewRation(clock func() time.Duration) *Ration {
 	return &Ration{clock: clock, limits: map[string]*limit{}}
 }
 
-// Hear takes what an upstream said in an answer that came just now. It reports whether that begins or ends a limit.
-func (r *Ration) Hear(id string, n notice.Notice) (changed bool) {
+// Observe records the notice in an answer that has just arrived and reports whether it begins or ends a limit.
+func (r *Ration) Observe(id string, n notice.Notice) (changed bool) {
 	rate := 0.0
 	if n.Limited {
-		rate = max(leastRate, n.Limit)
+		rate = max(minRate, n.Limit)
 	}
-	return r.Told(id, rate, 0)
+	return r.Update(id, rate, 0)
 }
 
-// Told takes what another host has heard of an upstream: the rate in requests a second, 0 for no limit, and how long ago.
-func (r *Ration) Told(id string, rate float64, age time.Duration) (changed bool) {
+// Update records a limit that another host has seen: the rate in requests a second, 0 for no limit, and the age of the answer.
+func (r *Ration) Update(id string, rate float64, age time.Duration) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
 	l := r.limits[id]
 	if l == nil {
-		l = &limit{at: now - age}
+		l = &limit{updatedAt: now - age}
 		r.limits[id] = l
 	}
-	if now-age < l.at {
+	if now-age < l.updatedAt {
 		return false
 	}
 	changed = (l.rate > 0) != (rate > 0)
 	switch {
 	case changed && rate > 0:
-		r.limited.Add(1)
+		r.limitedCount.Add(1)
 	case changed:
-		r.limited.Add(-1)
+		r.limitedCount.Add(-1)
 	}
-	l.at = now - age
-	l.set(rate, now)
+	l.updatedAt = now - age
+	l.setRate(rate, now)
 	return changed
 }
 
-// set takes the rate that counts from now on.
-func (l *limit) set(rate float64, now time.Duration) {
-	burst := max(1, rate*burstFor.Seconds())
+// setRate applies a rate from now on.
+func (l *limit) setRate(rate float64, now time.Duration) {
+	burst := max(1, rate*burstInterval.Seconds())
 	switch {
 	case rate == l.rate:
 	case rate == 0:
@@ -85,30 +85,30 @@
 	case l.bucket == nil:
 		l.bucket = bucket.NewBucket(rate, burst, now)
 	default:
-		l.bucket.Limit(now, rate, burst)
+		l.bucket.SetLimit(now, rate, burst)
 	}
 	l.rate = rate
 }
 
-// Newest returns what is known of an upstream, to tell another host; ok is false where nothing is.
-func (r *Ration) Newest(id string) (rate float64, age time.Duration, ok bool) {
+// Latest returns the newest limit of an upstream, to send to another host; ok is false if none is known.
+func (r *Ration) Latest(id string) (rate float64, age time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.limits[id]
 	if l == nil {
 		return 0, 0, false
 	}
-	return l.rate, r.clock() - l.at, true
+	return l.rate, r.clock() - l.updatedAt, true
 }
 
-// Some reports whether any upstream names a limit.
-func (r *Ration) Some() bool {
-	return r.limited.Load() > 0
+// AnyLimited reports whether any upstream has a limit.
+func (r *Ration) AnyLimited() bool {
+	return r.limitedCount.Load() > 0
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream has a limit.
 func (r *Ration) Limited(id string) bool {
-	if !r.Some() {
+	if !r.AnyLimited() {
 		return false
 	}
 	r.mu.Lock()
@@ -117,7 +117,7 @@
 	return l != nil && l.bucket != nil
 }
 
-// Wait returns how long it will be until one more request may go to an upstream, and the time between two requests from then on.
+// Wait returns the time until the next request may be sent to an upstream, and the gap between requests from then on.
 func (r *Ration) Wait(id string) (wait, gap time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +128,7 @@
 	return l.bucket.Wait(r.clock(), 1), time.Duration(float64(time.Second) / l.rate)
 }
 
-// Take counts a request that goes to an upstream now. Where it may not go, wait is how long it will be until it may.
+// Take counts a request that is sent to an upstream now. If the limit forbids it, wait is the time until it may be sent.
 func (r *Ration) Take(id string) (wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +149,7 @@
 			continue
 		}
 		if l.bucket != nil {
-			r.limited.Add(-1)
+			r.limitedCount.Add(-1)
 		}
 		delete(r.limits, id)
 	}
--- a/internal/share/fetch.go
+++ b/internal/share/fetch.go
@@ -7,10 +7,10 @@
 	"damaskreach/internal/digest"
 )
 
-type ownAsk struct{}
+type ownRequest struct{}
 
-// Fetch asks the nodes at addrs at once for the digests of the runners they own, learns those that come until ctx ends,
-// and returns how many nodes it asked. It leaves out nodes that are known to be down.
+// Fetch requests the digests of their runners from the nodes at addrs in parallel, skipping nodes known to be down. It
+// passes those that arrive before ctx ends to OnDigests and returns the number of nodes asked.
 func (s *Share) Fetch(ctx context.Context, addrs []string) int {
 	var all sync.WaitGroup
 	asked := 0
@@ -19,15 +19,15 @@
 			continue
 		}
 		asked++
-		all.Go(func() { s.fetch(ctx, addr) })
+		all.Go(func() { s.fetchFrom(ctx, addr) })
 	}
 	all.Wait()
 	return asked
 }
 
-func (s *Share) fetch(ctx context.Context, addr string) {
+func (s *Share) fetchFrom(ctx context.Context, addr string) {
 	var digests []digest.Digest
-	if err := s.Mesh.Ask(ctx, addr, methodOwn, ownAsk{}, &digests); err == nil {
-		s.Learn(digests)
+	if err := s.Mesh.Ask(ctx, addr, methodOwn, ownRequest{}, &digests); err == nil {
+		s.OnDigests(digests)
 	}
 }
