--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,4 +1,4 @@
-// Package share passes the digests of runners between the nodes of a site.
+// Package share distributes the digests of runners between the nodes of a site.
 package share
 
 import (
@@ -11,152 +11,151 @@
 )
 
 const (
-	methodDigests = "digests"
-	methodOwn     = "own-digests"
-	askTimeout    = time.Second
-	counters      = time.Second     // least time between digests of a runner that differ in counters alone
-	refresh       = 5 * time.Second // after which all are sent, changed or not: homes drop old choices of their own by them
+	methodDigests   = "digests"
+	methodOwn       = "own-digests"
+	askTimeout      = time.Second
+	counterInterval = time.Second     // least time between digests of a runner that differ only in counters
+	refreshInterval = 5 * time.Second // all digests are resent after this: homes drop their own old choices by them
 )
 
-// Share sends this node's digests to the others and takes theirs. The fields are set before Register.
+// Share sends this node's digests to the other nodes and receives theirs. The fields are set before Register.
 type Share struct {
 	Mesh *peer.Mesh
 	// Peers returns the addresses of the site's other nodes.
 	Peers func() []string
-	// Learn takes the digests that another node sent.
-	Learn func(digests []digest.Digest)
-	// Own returns the digests of the runners that this node owns.
-	Own func() []digest.Digest
+	// OnDigests is called with the digests that another node sent.
+	OnDigests func(digests []digest.Digest)
+	// OwnDigests returns the digests of the runners that this node owns.
+	OwnDigests func() []digest.Digest
 
-	// Self names this life of the node.
-	Self func() string
+	// Life returns an ID of this process, which changes with each start of the node.
+	Life func() string
 
 	mu      sync.Mutex
-	sending map[string]bool            // by address
-	waiting map[string][]digest.Digest // newest digests not yet sent, by address
-	told    map[string]told            // what the others have, by address
+	sending map[string]bool            // by peer address
+	pending map[string][]digest.Digest // newest digests not yet sent, by peer address
+	peers   map[string]peerState       // by peer address
 }
 
-// told is what one other node has taken. A process that replaces it at its address has nothing.
-type told struct {
-	life    string
-	all     time.Time        // when it was last sent all
-	digests map[string]known // by runner
+// peerState is what a peer has received. A new process at the same address starts with nothing.
+type peerState struct {
+	life       string
+	fullSentAt time.Time             // when all digests were last sent
+	digests    map[string]sentDigest // by runner
 }
 
-// known is the digest that another node has of a runner.
-type known struct {
+// sentDigest is the last digest of a runner that a peer received.
+type sentDigest struct {
 	digest digest.Digest
-	at     time.Time
+	sentAt time.Time
 }
 
-type digestsSaid struct {
+type digestsReply struct {
 	Life string `msgpack:"life"`
 }
 
-// Register takes other nodes' digests.
+// Register installs the handlers for the requests of other nodes.
 func (s *Share) Register() {
 	s.sending = map[string]bool{}
-	s.waiting = map[string][]digest.Digest{}
-	s.told = map[string]told{}
-	peer.Answer(s.Mesh, methodDigests, func(_ context.Context, _ string, digests []digest.Digest) (digestsSaid, error) {
-		s.Learn(digests)
-		return digestsSaid{Life: s.Self()}, nil
+	s.pending = map[string][]digest.Digest{}
+	s.peers = map[string]peerState{}
+	peer.Answer(s.Mesh, methodDigests, func(_ context.Context, _ string, digests []digest.Digest) (digestsReply, error) {
+		s.OnDigests(digests)
+		return digestsReply{Life: s.Life()}, nil
 	})
-	peer.Answer(s.Mesh, methodOwn, func(context.Context, string, ownAsk) ([]digest.Digest, error) {
-		return s.Own(), nil
+	peer.Answer(s.Mesh, methodOwn, func(context.Context, string, ownRequest) ([]digest.Digest, error) {
+		return s.OwnDigests(), nil
 	})
 }
 
-// Send passes this node's digests to every other node without waiting, to each those that it does not have yet: most
-// runners stand as they stood a second ago. To a node that is slow to take them only the newest go next, so that a
-// backlog of old ones cannot build up.
+// Send passes this node's digests to every peer without waiting, and to each only those that it lacks, since most runners
+// don't change within a second. For a slow peer only the newest digests are kept pending, so that no backlog builds up.
 func (s *Share) Send(ctx context.Context, digests []digest.Digest) {
 	if len(digests) == 0 {
 		return
 	}
 	for _, addr := range s.Peers() {
-		if s.begin(addr, digests) {
-			go s.drain(ctx, addr, digests)
+		if s.startSending(addr, digests) {
+			go s.sendLoop(ctx, addr, digests)
 		}
 	}
 }
 
-func (s *Share) begin(addr string, digests []digest.Digest) bool {
+func (s *Share) startSending(addr string, digests []digest.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sending[addr] {
-		s.waiting[addr] = digests
+		s.pending[addr] = digests
 		return false
 	}
 	s.sending[addr] = true
 	return true
 }
 
-func (s *Share) drain(ctx context.Context, addr string, digests []digest.Digest) {
+func (s *Share) sendLoop(ctx context.Context, addr string, digests []digest.Digest) {
 	for digests != nil {
-		s.send(ctx, addr, digests)
-		digests = s.next(addr)
+		s.sendTo(ctx, addr, digests)
+		digests = s.nextPending(addr)
 	}
 }
 
-func (s *Share) send(ctx context.Context, addr string, digests []digest.Digest) {
+func (s *Share) sendTo(ctx context.Context, addr string, digests []digest.Digest) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	changed := s.changed(addr, digests)
 	if len(changed) == 0 {
 		return
 	}
-	var said digestsSaid
-	err := s.Mesh.Ask(ctx, addr, methodDigests, changed, &said)
-	s.note(addr, changed, said.Life, len(changed) == len(digests), err)
+	var reply digestsReply
+	err := s.Mesh.Ask(ctx, addr, methodDigests, changed, &reply)
+	s.recordSent(addr, changed, reply.Life, len(changed) == len(digests), err)
 }
 
-// changed returns the digests that differ from those an address has, their running number aside. Counters alone go once
-// a second: a home adds its own choices to them until they are over, and sees the others' a second late.
+// changed returns the digests that differ from those a peer has, apart from their sequence numbers. Changes of counters alone
+// are sent once a second: a home adds its own choices to them, and sees those of others a second late.
 func (s *Share) changed(addr string, digests []digest.Digest) []digest.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.told[addr].all) >= refresh {
+	if time.Since(s.peers[addr].fullSentAt) >= refreshInterval {
 		return digests
 	}
 	var changed []digest.Digest
 	for _, d := range digests {
-		k, ok := s.told[addr].digests[d.Runner]
-		if !ok || !k.digest.Same(d) && (!k.digest.Alike(d) || time.Since(k.at) >= counters) {
+		k, ok := s.peers[addr].digests[d.Runner]
+		if !ok || !k.digest.Same(d) && (!k.digest.Alike(d) || time.Since(k.sentAt) >= counterInterval) {
 			changed = append(changed, d)
 		}
 	}
 	return changed
 }
 
-// note remembers what an address has taken. After a failure, or an answer from another process than before, it counts
-// as having nothing, and the next round sends all.
-func (s *Share) note(addr string, sent []digest.Digest, life string, all bool, err error) {
+// recordSent stores what a peer has received. After a failure, or a reply from a new process, the state is dropped and the
+// next round sends all digests.
+func (s *Share) recordSent(addr string, sent []digest.Digest, life string, all bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, before := s.told[addr]
+	t, before := s.peers[addr]
 	if err != nil || before && t.life != life {
-		delete(s.told, addr)
+		delete(s.peers, addr)
 		return
 	}
 	if !before {
-		t = told{life: life, digests: map[string]known{}}
+		t = peerState{life: life, digests: map[string]sentDigest{}}
 	}
 	if all {
-		t.all = time.Now()
+		t.fullSentAt = time.Now()
 	}
-	s.told[addr] = t
+	s.peers[addr] = t
 	for _, d := range sent {
-		t.digests[d.Runner] = known{digest: d, at: time.Now()}
+		t.digests[d.Runner] = sentDigest{digest: d, sentAt: time.Now()}
 	}
 }
 
-func (s *Share) next(addr string) []digest.Digest {
+func (s *Share) nextPending(addr string) []digest.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	digests := s.waiting[addr]
-	delete(s.waiting, addr)
+	digests := s.pending[addr]
+	delete(s.pending, addr)
 	if digests == nil {
 		delete(s.sending, addr)
 	}
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -24,20 +24,20 @@
 	pause = 100 * time.Millisecond
 )
 
-// receiver counts the digests a node takes; its life changes when its process is replaced.
+// receiver counts the digests that a node receives; a new life stands for a new process.
 type receiver struct {
 	mu    sync.Mutex
 	life  string
 	taken int
 }
 
-func (r *receiver) become(life string) {
+func (r *receiver) setLife(life string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.life = life
 }
 
-func (r *receiver) name() string {
+func (r *receiver) getLife() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.life
@@ -49,7 +49,7 @@
 	r.taken += len(digests)
 }
 
-// count returns how many digests were taken since it was last called.
+// count returns how many digests arrived since the last call.
 func (r *receiver) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +58,8 @@
 	return taken
 }
 
-// A node is replaced by another process at the same address. The sender sends only what has changed, and would go on as
-// if the new process had the rest: its callers would be told that no runner serves their adapter.
+// A node is replaced by a new process at the same address. If the sender kept sending only changes, the new process would
+// refuse requests since it knows no runner for their adapters.
 func TestReplacedPeerGetsEveryDigest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -81,7 +81,7 @@
 		send("unchanged but for its number", 0)
 		digests[0].Free++
 		send("one changed", 1)
-		b.become("second")
+		b.setLife("second")
 		digests[1].Free++
 		send("one changed, to another process", 1)
 		send("after its answer", 2)
@@ -90,10 +90,9 @@
 	})
 }
 
-// Requests begin and end on a runner many times a second. Did each go to every node of the site, digests would be the
-// largest part of what nodes send; did the last of them not go at all, homes would go on by counters that are wrong; and
-// did a home learn late that a batch is full or a model resident, callers would wait on the wrong runner.
-func TestCountersGoOnceASecondAndTheRestAtOnce(t *testing.T) {
+// Counters change many times a second. Sent each time, they would dominate the traffic between nodes; never sent, homes would
+// use wrong ones; and a full batch or a resident model reported late would send requests to the wrong runner.
+func TestCounterChangesAreSentOnceASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		n := memnet.NewNet(1)
@@ -134,7 +133,7 @@
 
 func serve(ctx context.Context, t *testing.T, n *memnet.Net, r *receiver) {
 	t.Helper()
-	s := newShare(n, hostB, r.name, r.learn)
+	s := newShare(n, hostB, r.getLife, r.learn)
 	lis, err := n.Listen(addrB)
 	if err != nil {
 		t.Fatal(err)
@@ -144,19 +143,22 @@
 
 func newShare(n *memnet.Net, host string, self func() string, learn func([]digest.Digest)) *share.Share {
 	mesh := peer.NewMesh(host, [][]byte{[]byte("a shared key")}, n.Dial(host), zap.NewNop())
-	s := &share.Share{Mesh: mesh, Self: self, Peers: func() []string { return []string{addrB} }, Learn: learn, Own: func() []digest.Digest { return nil }}
+	s := &share.Share{
+		Mesh: mesh, Life: self, Peers: func() []string { return []string{addrB} },
+		OnDigests: learn, OwnDigests: func() []digest.Digest { return nil },
+	}
 	s.Register()
 	return s
 }
 
-// A node has just started, and the owners have not listed it yet, so that they send it nothing; one of them is gone. It
-// asks, and must get what the others own without waiting for the one that is gone longer than it is told to.
-func TestNewNodeFetchesWhatOthersOwn(t *testing.T) {
+// A new node isn't listed by the owners yet, so it receives nothing unasked, and one owner is gone. Fetch must return what the
+// others own without waiting for the lost one beyond its context.
+func TestFetchSkipsUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		n := memnet.NewNet(1)
 		owner := newShare(n, hostB, func() string { return "b" }, func([]digest.Digest) {})
-		owner.Own = func() []digest.Digest { return []digest.Digest{{Runner: "r1"}, {Runner: "r2"}} }
+		owner.OwnDigests = func() []digest.Digest { return []digest.Digest{{Runner: "r1"}, {Runner: "r2"}} }
 		lis, err := n.Listen(addrB)
 		if err != nil {
 			t.Fatal(err)
@@ -169,8 +171,8 @@
 		defer end()
 		begin := time.Now()
 		a.Fetch(limit, []string{hostC + ":7000", addrB})
-		if got, most := time.Since(begin), 2*pause; got > most {
-			t.Errorf("got the answer after %s, want at most %s", got, most)
+		if got, maxTime := time.Since(begin), 2*pause; got > maxTime {
+			t.Errorf("got the answer after %s, want at most %s", got, maxTime)
 		}
 		if got, want := taken.count(), 2; got != want {
 			t.Errorf("got %d digests, want %d", got, want)
--- a/internal/slope/figure.go
+++ b/internal/slope/figure.go
@@ -151,7 +151,7 @@
 		data := encoded(many(n, newDigest))
 		return cost(func() {
 			for _, d := range decoded(data) {
-				p.Learn(time.Now(), d)
+				p.UpdateDigest(time.Now(), d)
 			}
 		})
 	})
--- a/internal/slope/parts.go
+++ b/internal/slope/parts.go
@@ -104,7 +104,7 @@
 func newPlace(runners int) *place.Place {
 	p := place.NewPlace(tune.Default())
 	for i := range runners {
-		p.Learn(time.Now(), newDigest(i))
+		p.UpdateDigest(time.Now(), newDigest(i))
 	}
 	return p
 }
@@ -145,7 +145,7 @@
 	for _, s := range m.Serving(time.Now()) {
 		ids = append(ids, s.ID())
 	}
-	return spread.Pick(ids, "adapter-00007@v1")
+	return spread.OwnerOf(ids, "adapter-00007@v1")
 }
 
 // plan does what an owner does in each look at its runners.
--- a/internal/speeds/bench_test.go
+++ b/internal/speeds/bench_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// BenchmarkMeasured measures what a message to other hosts costs that tells of 32 engines, of which a quarter has sent events since the last one.
+// BenchmarkMeasured measures the cost of a message about 32 engines, a quarter of which have sent events since the last one.
 func BenchmarkMeasured(b *testing.B) {
 	const engines, parts, events, pause = 32, 4, 8, 200 * time.Millisecond
-	s := fleet()
+	s := newFleet()
 	at := now
 	for i := range b.N {
 		at = at.Add(pause)
@@ -17,7 +17,7 @@
 			id := strconv.Itoa(n)
 			for e := range events {
 				if n%parts == i%parts {
-					s.Event(id, event+time.Duration(e*5%8)*time.Millisecond, at)
+					s.AddGap(id, event+time.Duration(e*5%8)*time.Millisecond, at)
 				}
 			}
 			s.Measured(id, at)
--- a/internal/speeds/speeds.go
+++ b/internal/speeds/speeds.go
@@ -1,8 +1,8 @@
-// Package speeds holds how fast each engine is, as one host knows it.
+// Package speeds holds the speed of each engine as one host knows it.
 //
-// A host measures events of its own streams and passes them to the host that grants an engine's turns, which tells all what the measurements
-// of all hosts come to (package tempo). How long an engine needs to read a prompt follows from that: what the usual engine needs, which this
-// host measures by itself over all engines, times how much slower than the usual one it makes events.
+// A host measures the events of its own streams and reports them to the engine's owner, which distributes the result over all
+// hosts (package tempo). The time to read a prompt is that of the reference engine, which this host
+// measures over all engines, times the engine's slowdown in generating events.
 package speeds
 
 import (
@@ -16,80 +16,80 @@
 )
 
 const (
-	// leastSlow and mostSlow bound how much slower or faster than the usual one an engine counts.
-	leastSlow = 0.2
-	mostSlow  = 12.0
-	// renewal is the part of the engines that must have been told of anew for the usual one to be looked for again.
-	renewal = 1.0 / 8
-	// idleFor is after how long an engine's own measurements are dropped.
-	idleFor = 10 * time.Second
+	// minSlowdown and maxSlowdown bound the slowdown of an engine against the reference.
+	minSlowdown = 0.2
+	maxSlowdown = 12.0
+	// medianRefreshShare is the number of reports, as a share of the engines, after which the median is recomputed.
+	medianRefreshShare = 1.0 / 8
+	// ownTTL is how long own measurements of an unused engine are kept.
+	ownTTL = 10 * time.Second
 )
 
-// Speeds may be used from several goroutines.
+// Speeds is safe for concurrent use.
 type Speeds struct {
-	usual *speed.Speed // of the usual engine
+	reference *speed.Speed
 
-	mu     sync.RWMutex
-	told   map[string]time.Duration // between two events, by engine
-	own    map[string]*own
-	median time.Duration // of told
-	news   int           // since it was found
+	mu       sync.RWMutex
+	reported map[string]time.Duration // gap between two events, by engine
+	own      map[string]*measurement
+	median   time.Duration // of reported
+	updates  int           // reports since median was computed
 }
 
-// own is what this host has measured at one engine.
-type own struct {
-	gaps gaps.Gaps
-	at   time.Time
+// measurement is what this host has measured at one engine.
+type measurement struct {
+	gaps      gaps.Gaps
+	updatedAt time.Time
 }
 
-// NewSpeeds returns what a host knows that has heard of no engine yet.
-func NewSpeeds(usual *speed.Speed) *Speeds {
-	s := &Speeds{usual: usual, told: map[string]time.Duration{}, own: map[string]*own{}}
-	usual.Slow = s.Slow
+// NewSpeeds returns a Speeds without reports and sets the Slowdown of reference.
+func NewSpeeds(reference *speed.Speed) *Speeds {
+	s := &Speeds{reference: reference, reported: map[string]time.Duration{}, own: map[string]*measurement{}}
+	reference.Slowdown = s.Slowdown
 	return s
 }
 
-// Told takes the usual time between two events at an engine, as the host says that grants its turns; 0 says that it is unknown.
-func (s *Speeds) Told(id string, event time.Duration) {
+// SetReported records the usual gap between two events at an engine, from its owner; 0 if unknown.
+func (s *Speeds) SetReported(id string, event time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if event == 0 {
-		delete(s.told, id)
+		delete(s.reported, id)
 		return
 	}
-	s.told[id] = event
-	s.news++
-	if float64(s.news) >= renewal*float64(len(s.told)) {
-		s.look()
+	s.reported[id] = event
+	s.updates++
+	if float64(s.updates) >= medianRefreshShare*float64(len(s.reported)) {
+		s.updateMedian()
 	}
 }
 
-// look finds the usual engine among those that were told of. It needs the lock.
-func (s *Speeds) look() {
-	events := slices.Sorted(maps.Values(s.told))
-	s.median, s.news = events[len(events)/2], 0
+// updateMedian computes the gap of the reference engine, the median of the reports. The caller holds the lock.
+func (s *Speeds) updateMedian() {
+	events := slices.Sorted(maps.Values(s.reported))
+	s.median, s.updates = events[len(events)/2], 0
 }
 
-// First takes the time from sending a prompt of so many tokens to an engine to its first event.
-func (s *Speeds) First(id string, tokens int, took time.Duration) {
-	s.usual.First(id, tokens, took)
+// AddPrompt adds the time from sending a prompt to an engine to its first event.
+func (s *Speeds) AddPrompt(id string, tokens int, took time.Duration) {
+	s.reference.AddPrompt(id, tokens, took)
 }
 
-// Event takes the time between two events of a stream at an engine.
-func (s *Speeds) Event(id string, took time.Duration, now time.Time) {
-	s.usual.Event(id, took)
+// AddGap adds the time between two events of a stream at an engine.
+func (s *Speeds) AddGap(id string, took time.Duration, now time.Time) {
+	s.reference.AddGap(id, took)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.own[id]
 	if !ok {
-		o = &own{}
+		o = &measurement{}
 		s.own[id] = o
 	}
 	o.gaps.Add(took, now)
-	o.at = now
+	o.updatedAt = now
 }
 
-// Measured returns the usual time between two events at an engine as this host measured it of late, and over how many.
+// Measured returns the usual gap between events at an engine as recently measured by this host, and the number of gaps.
 func (s *Speeds) Measured(id string, now time.Time) (event time.Duration, count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,44 +99,44 @@
 	return 0, 0
 }
 
-// Slow returns how many times slower than the usual engine one is.
-func (s *Speeds) Slow(id string) float64 {
+// Slowdown returns how many times slower than the reference engine an engine is.
+func (s *Speeds) Slowdown(id string) float64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	event, ok := s.told[id]
+	event, ok := s.reported[id]
 	if !ok {
 		return 1
 	}
-	return min(mostSlow, max(leastSlow, float64(event)/float64(s.median)))
+	return min(maxSlowdown, max(minSlowdown, float64(event)/float64(s.median)))
 }
 
-// Cost returns the time that an engine needs to read a prompt of so many tokens.
+// Cost returns the time that an engine needs to read a prompt of the given number of tokens.
 func (s *Speeds) Cost(id string, tokens int) time.Duration {
-	return time.Duration(s.Slow(id) * float64(s.usual.Cost(tokens)))
+	return time.Duration(s.Slowdown(id) * float64(s.reference.Cost(tokens)))
 }
 
-// Gap returns the usual time between two events at an engine.
+// Gap returns the usual time between two events of a stream at an engine.
 func (s *Speeds) Gap(id string) time.Duration {
 	s.mu.RLock()
-	event, ok := s.told[id]
+	event, ok := s.reported[id]
 	s.mu.RUnlock()
 	if !ok {
-		return s.usual.Gap()
+		return s.reference.Gap()
 	}
 	return event
 }
 
-// Forget drops engines that are gone, and measurements of those that this host has not used for long.
+// Forget drops engines that are gone and own measurements older than ownTTL.
 func (s *Speeds) Forget(gone func(id string) bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id := range s.told {
+	for id := range s.reported {
 		if gone(id) {
-			delete(s.told, id)
+			delete(s.reported, id)
 		}
 	}
 	for id, o := range s.own {
-		if gone(id) || now.Sub(o.at) > idleFor {
+		if gone(id) || now.Sub(o.updatedAt) > ownTTL {
 			delete(s.own, id)
 		}
 	}
--- a/internal/spread/pick.go
+++ b/internal/spread/pick.go
@@ -14,8 +14,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the last bytes over all bits: FNV alone ranks names that differ in their last digit almost alike,
-// and one node would get far more than its share.
+// mix spreads the last bytes over all bits. FNV alone ranks names that differ in their last digit almost alike, and one node
+// would get far more than its share.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -24,17 +24,17 @@
 	return x ^ x>>33
 }
 
-// Pick returns the node among ids that a key hashes to; when a node goes, only its own keys move.
-func Pick(ids []string, key string) string {
+// OwnerOf returns the node among ids that a key hashes to. When a node leaves, only its own keys move.
+func OwnerOf(ids []string, key string) string {
 	if len(ids) == 0 {
 		return ""
 	}
 	return rendezvous.New(ids, hash).Lookup(key)
 }
 
-// First returns so many of the nodes, the one that a key hashes to first; when a node goes, the others keep their order.
-func First(ids []string, key string, most int) []string {
+// Rank returns the first n nodes by rendezvous hash of a key. When a node leaves, the others keep their order.
+func Rank(ids []string, key string, n int) []string {
 	ranked := slices.Clone(ids)
 	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(hash(key+"/"+b), hash(key+"/"+a)) })
-	return ranked[:min(most, len(ranked))]
+	return ranked[:min(n, len(ranked))]
 }
--- a/internal/tempo/tempo.go
+++ b/internal/tempo/tempo.go
@@ -1,8 +1,8 @@
-// Package tempo works out how fast one engine makes events, from what all hosts have measured of their streams there.
+// Package tempo aggregates how fast one engine generates events, from the measurements of all hosts.
 //
-// A single host has a stream at an engine now and then; all of them together see hundreds of its events a second. So the host that grants
-// the engine's turns adds up what they tell. Engines of one pool may differ by a factor of three, and one may turn slow: with one speed
-// for all, slow engines are given more prompts than they can read while fast ones have nothing to do.
+// A single host has few streams at an engine, but all of them together see hundreds of its events a second. So the engine's
+// owner aggregates their reports. Engines of one pool differ by a factor of three, and one may slow down;
+// with one speed for all, slow engines would get more prompts than they can read while fast ones stay idle.
 package tempo
 
 import (
@@ -11,87 +11,87 @@
 )
 
 const (
-	// life is how long what a host told counts.
-	life = 4 * time.Second
-	// enough is how many events a new value needs.
-	enough = 24
-	// steady is the part of the value by which it must change to be told anew: every change is told to all hosts.
-	steady = 0.08
-	// forget is after how long without a measurement the engine counts as unknown again: it may have recovered, and nothing would be sent
-	// there to find out.
-	forget = 30 * time.Second
+	// reportTTL is how long a host's report counts.
+	reportTTL = 4 * time.Second
+	// minEvents is the number of events that a new value needs.
+	minEvents = 24
+	// minChange is the relative change from which a new value is published, since each is sent to all hosts.
+	minChange = 0.08
+	// valueTTL is how long a value is kept without measurements: the engine may have recovered, and without requests nobody
+	// would notice.
+	valueTTL = 30 * time.Second
 )
 
-// Tempo is used from one goroutine at a time.
+// Tempo is the estimate of one engine. It is not safe for concurrent use.
 type Tempo struct {
-	hosts map[string]report
-	event time.Duration
-	at    time.Time // when event was last found or confirmed
+	hosts     map[string]report
+	gap       time.Duration
+	updatedAt time.Time // when gap was last computed or confirmed
 }
 
 // report is what one host has measured.
 type report struct {
-	event time.Duration
-	count int
-	at    time.Time
+	gap        time.Duration
+	count      int
+	reportedAt time.Time
 }
 
-// Begin takes what another host had found of the engine before; what is measured here goes first.
-func (t *Tempo) Begin(event time.Duration, now time.Time) {
-	if t.event == 0 {
-		t.event, t.at = event, now
+// SetPrior sets the gap that another host computed before, unless there is already a value.
+func (t *Tempo) SetPrior(gap time.Duration, now time.Time) {
+	if t.gap == 0 {
+		t.gap, t.updatedAt = gap, now
 	}
 }
 
-// Take takes the usual time between two events that a host has measured over so many of them.
-func (t *Tempo) Take(host string, event time.Duration, count int, at time.Time) {
-	if count == 0 || !at.After(t.hosts[host].at) {
+// AddReport records a host's usual gap between events and the number of events it measured.
+func (t *Tempo) AddReport(host string, gap time.Duration, count int, reportedAt time.Time) {
+	if count == 0 || !reportedAt.After(t.hosts[host].reportedAt) {
 		return
 	}
 	if t.hosts == nil {
 		t.hosts = map[string]report{}
 	}
-	t.hosts[host] = report{event, count, at}
+	t.hosts[host] = report{gap, count, reportedAt}
 }
 
-// Reset forgets everything: the engine has begun anew, perhaps on another machine.
+// Reset drops everything: the engine has restarted, perhaps on another machine.
 func (t *Tempo) Reset() {
 	*t = Tempo{}
 }
 
-// Event returns the usual time between two events of a stream there; 0 where it is unknown.
-func (t *Tempo) Event(now time.Time) time.Duration {
-	event, count := t.median(now)
-	if count >= enough {
-		t.at = now
-		if change := (event - t.event).Abs(); float64(change) > steady*float64(t.event) {
-			t.event = event
+// Gap returns the usual time between two events of a stream; 0 if unknown.
+func (t *Tempo) Gap(now time.Time) time.Duration {
+	gap, count := t.median(now)
+	if count >= minEvents {
+		t.updatedAt = now
+		if change := (gap - t.gap).Abs(); float64(change) > minChange*float64(t.gap) {
+			t.gap = gap
 		}
 	}
-	if now.Sub(t.at) > forget {
-		t.event = 0
+	if now.Sub(t.updatedAt) > valueTTL {
+		t.gap = 0
 	}
-	return t.event
+	return t.gap
 }
 
-// median returns the median of what hosts told, each by the events that it has measured, and how many those are. A host that is slow itself
-// gets its events late and in heaps; the median follows no single one.
+// median returns the median of the reported gaps, weighted by events, and the number of events. A slow host receives its
+// events late and in bursts; the median is robust against it.
 func (t *Tempo) median(now time.Time) (time.Duration, int) {
 	var list []report
 	sum := 0
 	for host, r := range t.hosts {
-		if now.Sub(r.at) > life {
+		if now.Sub(r.reportedAt) > reportTTL {
 			delete(t.hosts, host)
 			continue
 		}
 		list = append(list, r)
 		sum += r.count
 	}
-	slices.SortFunc(list, func(a, b report) int { return int(a.event - b.event) })
+	slices.SortFunc(list, func(a, b report) int { return int(a.gap - b.gap) })
 	below := 0
 	for _, r := range list {
 		if below += r.count; 2*below >= sum {
-			return r.event, sum
+			return r.gap, sum
 		}
 	}
 	return 0, 0
--- a/internal/tempo/tempo_test.go
+++ b/internal/tempo/tempo_test.go
@@ -8,68 +8,68 @@
 	"damaskreach/internal/tempo"
 )
 
-const plain = 30 * time.Millisecond
+const usualGap = 30 * time.Millisecond
 
 var start = time.Unix(1000, 0)
 
-// told has six hosts tell the same.
-func told(t *tempo.Tempo, event time.Duration, now time.Time) {
+// reportFromHosts adds the same report from six hosts.
+func reportFromHosts(t *tempo.Tempo, event time.Duration, now time.Time) {
 	for host := range 6 {
-		t.Take(fmt.Sprint("h", host), event, 10, now)
+		t.AddReport(fmt.Sprint("h", host), event, 10, now)
 	}
 }
 
-// One host has no processor left and sees its events late and in heaps. The engine must not count as slow, or as fast, for that.
-func TestSlowHostDoesNotChangeTheEnginesSpeed(t *testing.T) {
+// A host without CPU time receives events late and in bursts. That must not change the engine's gap.
+func TestSlowHostDoesNotChangeGap(t *testing.T) {
 	var e tempo.Tempo
-	told(&e, plain, start)
-	e.Take("slow", 400*time.Millisecond, 32, start)
-	e.Take("heaps", time.Millisecond, 20, start)
-	if got := e.Event(start); got != plain {
-		t.Errorf("Event = %v, want %v", got, plain)
+	reportFromHosts(&e, usualGap, start)
+	e.AddReport("slow", 400*time.Millisecond, 32, start)
+	e.AddReport("heaps", time.Millisecond, 20, start)
+	if got := e.Gap(start); got != usualGap {
+		t.Errorf("Gap = %v, want %v", got, usualGap)
 	}
 }
 
-// An engine turns seven times slower under load. Requests must go elsewhere within seconds, and come back once it has recovered.
-func TestEngineThatTurnsSlowIsFollowed(t *testing.T) {
+// An engine slows down sevenfold under load. The gap must follow within seconds and expire later, so that requests come back.
+func TestGapFollowsSlowedEngine(t *testing.T) {
 	var e tempo.Tempo
-	told(&e, plain, start)
-	e.Event(start)
-	told(&e, 7*plain, start.Add(time.Second))
-	if got := e.Event(start.Add(time.Second)); got != 7*plain {
-		t.Errorf("Event = %v, want %v", got, 7*plain)
+	reportFromHosts(&e, usualGap, start)
+	e.Gap(start)
+	reportFromHosts(&e, 7*usualGap, start.Add(time.Second))
+	if got := e.Gap(start.Add(time.Second)); got != 7*usualGap {
+		t.Errorf("Gap = %v, want %v", got, 7*usualGap)
 	}
-	if got := e.Event(start.Add(20 * time.Second)); got != 7*plain {
-		t.Errorf("Event without new measurements = %v, want %v still", got, 7*plain)
+	if got := e.Gap(start.Add(20 * time.Second)); got != 7*usualGap {
+		t.Errorf("Gap without new measurements = %v, want %v still", got, 7*usualGap)
 	}
-	if got := e.Event(start.Add(40 * time.Second)); got != 0 {
-		t.Errorf("Event long after = %v, want none", got)
+	if got := e.Gap(start.Add(40 * time.Second)); got != 0 {
+		t.Errorf("Gap long after = %v, want none", got)
 	}
 }
 
-// Every change is told to all hosts. Small ones are not.
-func TestSmallChangesAreNotTold(t *testing.T) {
+// Every change is sent to all hosts, so small ones must be ignored.
+func TestSmallChangesAreIgnored(t *testing.T) {
 	var e tempo.Tempo
-	told(&e, plain, start)
-	e.Event(start)
-	told(&e, plain+time.Millisecond, start.Add(time.Second))
-	if got := e.Event(start.Add(time.Second)); got != plain {
-		t.Errorf("Event = %v, want %v", got, plain)
+	reportFromHosts(&e, usualGap, start)
+	e.Gap(start)
+	reportFromHosts(&e, usualGap+time.Millisecond, start.Add(time.Second))
+	if got := e.Gap(start.Add(time.Second)); got != usualGap {
+		t.Errorf("Gap = %v, want %v", got, usualGap)
 	}
 }
 
-// An engine begins anew. What its predecessor was like says nothing of it; a few events do not either.
-func TestNewEngineIsUnknownUntilItWasMeasured(t *testing.T) {
+// An engine restarts. The old measurements and a few new events must not count.
+func TestResetEngineIsUnknownUntilMeasured(t *testing.T) {
 	var e tempo.Tempo
-	told(&e, 3*plain, start)
-	e.Event(start)
+	reportFromHosts(&e, 3*usualGap, start)
+	e.Gap(start)
 	e.Reset()
-	e.Take("h", plain, 5, start.Add(time.Second))
-	if got := e.Event(start.Add(time.Second)); got != 0 {
-		t.Errorf("Event = %v, want none", got)
+	e.AddReport("h", usualGap, 5, start.Add(time.Second))
+	if got := e.Gap(start.Add(time.Second)); got != 0 {
+		t.Errorf("Gap = %v, want none", got)
 	}
-	e.Begin(2*plain, start.Add(time.Second))
-	if got := e.Event(start.Add(time.Second)); got != 2*plain {
-		t.Errorf("Event = %v, want what was found before", got)
+	e.SetPrior(2*usualGap, start.Add(time.Second))
+	if got := e.Gap(start.Add(time.Second)); got != 2*usualGap {
+		t.Errorf("Gap = %v, want the prior value", got)
 	}
 }
