--- a/internal/edge/build.go
+++ b/internal/edge/build.go
@@ -76,10 +76,10 @@
 	i := intake.NewIntake()
 	i.Table, i.Conf, i.Targets = e.Table, e.ConfPrefix, e.TargetPrefix
 	i.Rules, i.Target, i.Version = e.DecodeRules, e.DecodeTarget, e.DecodeVersion
-	i.Every, i.Again, i.Pause, i.Clock = e.readInterval, e.nextReadDelay, e.retryDelay, e.Clock
-	i.Read, i.Changed, i.Keep = e.announceRead, e.announceChange, e.feeds.Keep
-	i.Relaxed, i.Passed, i.Others, i.Patience = e.readsDelegated, e.passedRows, e.rowsFromPeers, e.storePatience
-	i.Applied, i.Log = e.past.Add, e.Log
+	i.ReadInterval, i.NextReadDelay, i.RetryDelay, i.Clock = e.readInterval, e.nextReadDelay, e.retryDelay, e.Clock
+	i.OnRead, i.OnChange, i.RecordChanges = e.announceRead, e.announceChange, e.feeds.Keep
+	i.ReadDelegated, i.Forwarded, i.FetchFromHost, i.ListDelay = e.readsDelegated, e.passedRows, e.rowsFromPeers, e.storePatience
+	i.OnConfigApplied, i.Log = e.past.Add, e.Log
 	return i
 }
 
@@ -113,7 +113,7 @@
 		CanLoad: e.hasOwner, Admit: e.admit, EndTurn: e.reportTurnEnd, Permit: e.permit, AnnounceLimit: e.tellLimit,
 		Charge: e.limits.Charge, Use: e.trackUse,
 		StopsSoon: e.stopsSoon, Stopping: e.ending, WithDeadline: context.WithDeadline,
-		VersionGrace: func() time.Duration { return e.Setup().Version / 2 }, View: e.intake.View, ViewAge: e.readAge, StoreDown: e.intake.Away,
+		VersionGrace: func() time.Duration { return e.Setup().Version / 2 }, View: e.intake.View, ViewAge: e.readAge, StoreDown: e.intake.StoreDown,
 		IsToBlame: e.reach.IsToBlame, Started: time.Now(), Holds: e.holds, Pick: e.pick, Spare: e.spare,
 		Ration: e.ration, Flight: e.flight, Avoid: e.avoid, Blame: &e.blame, Speeds: e.speeds,
 		Log: e.Log, RequestLog: e.RequestLog, Stats: e.Stats,
--- a/internal/edge/report.go
+++ b/internal/edge/report.go
@@ -24,7 +24,7 @@
 // ownStatus returns what this host reports of itself.
 func (e *Edge) ownStatus() (own status.Status, uses []usage.Usage, broke []string) {
 	own = status.Status{
-		Leaving: e.leaving.Load(), LeaseLapsed: e.tenure.LeaseLeft() <= 0, StoreDown: e.intake.Away(), Isolated: e.reach.CutFor() > 0,
+		Leaving: e.leaving.Load(), LeaseLapsed: e.tenure.LeaseLeft() <= 0, StoreDown: e.intake.StoreDown(), Isolated: e.reach.CutFor() > 0,
 		Requests: e.engineLoads(), PromptWaits: e.engineWaits(), ModelLoads: e.giver.LoadingModels(),
 	}
 	uses = e.engineUsages(e.Setup().IP, func(id string) bool { return !e.grantsTurns(id) })
--- a/internal/edge/startup.go
+++ b/internal/edge/startup.go
@@ -60,7 +60,7 @@
 	case e.TargetPrefix:
 		return e.intake.Registrations()
 	case e.ConfPrefix:
-		return e.intake.Operators()
+		return e.intake.OperatorRows()
 	case tenure.Prefix:
 		return e.tenure.Rows()
 	}
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -61,7 +61,7 @@
 	if m == nil {
 		return 0
 	}
-	away, before := e.intake.Away(), 0
+	away, before := e.intake.StoreDown(), 0
 	for _, h := range m.Ahead() {
 		if away || !m.Away(h.IP) {
 			before++
@@ -100,7 +100,7 @@
 // readMarks returns how far this host knows the store and how old the newest read is, its own or a reported one; nil without either. A host
 // that the store does not answer reports a read that went further than its own knowledge: other hosts may be able to read what it cannot.
 func (e *Edge) readMarks() *marks.Marks {
-	if beyond, behind, ok := e.readers.Beyond(time.Now(), e.covers); ok && (e.intake.Away() || behind > maxBehind) {
+	if beyond, behind, ok := e.readers.Beyond(time.Now(), e.covers); ok && (e.intake.StoreDown() || behind > maxBehind) {
 		return &beyond
 	}
 	known, ok := e.intake.Marks()
@@ -140,7 +140,7 @@
 	read := e.withoutPendingConf(*g.Read)
 	if e.covers(read) {
 		e.readers.Note(g.IP, time.Duration(read.Age)*time.Millisecond, now)
-		e.intake.Wake(read)
+		e.intake.ObserveMarks(read)
 		return
 	}
 	e.readers.Ahead(read, now)
@@ -167,7 +167,7 @@
 
 // wakeReads has what another host knows read, unless this one knows as much by now.
 func (e *Edge) wakeReads(read marks.Marks) {
-	e.intake.Wake(read)
+	e.intake.ObserveMarks(read)
 	e.tenure.NotifyNewer(read.Fleet)
 }
 
--- a/internal/intake/conf.go
+++ b/internal/intake/conf.go
@@ -13,99 +13,99 @@
 	"damaskreach/internal/view"
 )
 
-// RunConf follows the operators' rows until ctx ends.
+// RunConf keeps the operators' rows up to date until ctx ends.
 func (i *Intake) RunConf(ctx context.Context) {
 	for ctx.Err() == nil {
 		if i.confAt.Load() > 0 {
-			i.passedConf()
-			i.rest(ctx, i.confWake, i.passedConf)
+			i.applyForwardedConf()
+			i.waitWhileDelegated(ctx, i.confWake, i.applyForwardedConf)
 		}
-		r := await(i.askConf(ctx), i.confWake, i.passedConf)
+		r := awaitReading(i.startConfReading(ctx), i.confWake, i.applyForwardedConf)
 		if r.err != nil {
 			i.Log.Debug("configuration not read", zap.Error(r.err))
-			i.pause(ctx, i.confWake, i.passedConf)
+			i.waitToRetry(ctx, i.confWake, i.applyForwardedConf)
 			continue
 		}
 		if r.rev >= i.confAt.Load() {
-			i.takeConf(r.list, r.whole, r.rev)
-			i.endConfWake()
+			i.applyConf(r.list, r.whole, r.rev)
+			i.clearConfWake()
 		} else {
 			i.Log.Info("reading not taken", zap.String("rows", i.Conf), zap.Int64("revision", r.rev), zap.Int64("taken", i.confAt.Load()))
-			i.pause(ctx, i.confWake, i.passedConf)
+			i.waitToRetry(ctx, i.confWake, i.applyForwardedConf)
 		}
-		if i.confRead.Swap(i.moment()) == 0 {
-			go i.takeFromOthers(ctx)
+		if i.confRead.Swap(i.clockNanos()) == 0 {
+			go i.applyConfFromHosts(ctx)
 		}
 	}
 }
 
-// endConfWake drops a wake that came while the operators' rows were read, unless it was for a change that they still lack. It would end the next
-// rest at once, and the host would wait at the store for a change although another one reads.
-func (i *Intake) endConfWake() {
+// clearConfWake drops a wake that arrived during a reading, unless it reports a change that the reading lacks. A stale wake would end the
+// next delegation at once and make this host wait for a change at the store although another one reads.
+func (i *Intake) clearConfWake() {
 	select {
 	case <-i.confWake:
 	default:
 	}
-	if i.confTold.Load() > i.confAt.Load() { // looked at last, for a wake may have come since and been dropped
-		nudge(i.confWake)
+	if i.confReported.Load() > i.confAt.Load() { // checked last: a wake sent meanwhile may have been dropped
+		notify(i.confWake)
 	}
 }
 
-// passedConf takes operators' rows that another host has passed on; it reports false where there are none.
-func (i *Intake) passedConf() bool {
-	list, rev, ok := i.Passed(i.Conf, i.confAt.Load())
+// applyForwardedConf applies operators' rows that another host has forwarded; it reports false where there are none.
+func (i *Intake) applyForwardedConf() bool {
+	list, rev, ok := i.Forwarded(i.Conf, i.confAt.Load())
 	if ok {
-		i.takeConf(list, false, rev)
+		i.applyConf(list, false, rev)
 	}
 	return ok
 }
 
-// takeConf takes operators' rows up to a revision. Where all were read, others are told only of those that changed: a host that was told
-// of older ones as if they were new would wait for a change that it cannot find.
-func (i *Intake) takeConf(list []rows.Row, whole bool, rev int64) {
-	i.entered(rev)
+// applyConf applies operators' rows up to a revision. After a list of all rows, only the changed ones are recorded for other hosts: a host
+// that got older rows as new would wait for a change that does not exist.
+func (i *Intake) applyConf(list []rows.Row, whole bool, rev int64) {
+	i.observeEra(rev)
 	after, learnt := i.confAt.Load(), time.Now()
 	if after == 0 {
-		// A version that is there when a host starts may have been named long ago: requests have no time left on the one before.
+		// A version found at startup may have been named long ago: requests get no grace on the version before.
 		after, learnt = feed.Whole, time.Time{}
 	}
-	var news []rows.Row
+	var changes []rows.Row
 	for _, row := range list {
 		if !whole || row.Rev > after {
-			i.takeConfRow(row, learnt)
-			news = append(news, row)
+			i.applyConfRow(row, learnt)
+			changes = append(changes, row)
 		}
 	}
-	if older(after, rev) {
-		// All rows came, and none is ever taken back: whoever is in the era before gets them with the next message, not by a reading.
+	if olderEra(after, rev) {
+		// All rows were read and none is ever deleted, so hosts still in the previous era get them by message, without a reading.
 		after = feed.Start
 	}
-	i.Keep(i.Conf, after, rev, news)
+	i.RecordChanges(i.Conf, after, rev, changes)
 	i.confAt.Store(rev)
-	if len(news) > 0 {
-		i.confMark.Store(newest(news))
-		i.Changed()
+	if len(changes) > 0 {
+		i.confMark.Store(newestRev(changes))
+		i.OnChange()
 	}
 }
 
-// newest returns the revision of the newest of rows. That of the answer that brought them differs from host to host: one that was answered a
-// moment sooner would take another's for a change that it lacks, rely on no reading of it, and wait at the store for what never comes.
-func newest(list []rows.Row) (rev int64) {
+// newestRev returns the highest revision of the rows. The revision of the answer differs between hosts: one with a lower answer would
+// think that it lacks another's change, stop relying on that host and wait at the store for a change that never comes.
+func newestRev(list []rows.Row) (rev int64) {
 	for _, row := range list {
 		rev = max(rev, row.Rev)
 	}
 	return rev
 }
 
-// askConf reads the operators' rows that have changed since the last that were taken, or all of them.
-func (i *Intake) askConf(ctx context.Context) <-chan reading {
+// startConfReading starts a reading of the operators' rows that changed since the last applied revision, or of all of them.
+func (i *Intake) startConfReading(ctx context.Context) <-chan reading {
 	rev := i.confAt.Load()
 	done := make(chan reading, 1)
 	go func() { done <- i.readConf(ctx, rev) }()
 	return done
 }
 
-// readConf returns the operators' rows that changed after a revision, or all of them.
+// readConf returns the operators' rows that changed after a revision, or all of them where the store has no history back to it.
 func (i *Intake) readConf(ctx context.Context, rev int64) (r reading) {
 	if rev > 0 {
 		r.list, r.rev, r.err = i.Table.Tail(ctx, i.Conf, rev)
@@ -114,26 +114,26 @@
 		}
 		i.Log.Info("history of the configuration is gone; reading all of it", zap.Int64("after", rev))
 	}
-	listCtx, cancel := context.WithTimeout(ctx, confFor)
+	listCtx, cancel := context.WithTimeout(ctx, confListTimeout)
 	defer cancel()
 	r.whole = true
 	r.list, r.rev, r.err = i.Table.List(listCtx, i.Conf)
 	return r
 }
 
-// takeConfRow takes one of the operators' rows; learnt is since when its version of an adapter may be known, zero where that is long.
-func (i *Intake) takeConfRow(row rows.Row, learnt time.Time) {
+// applyConfRow applies one of the operators' rows; learnt is when an adapter version in it became known, zero for long ago.
+func (i *Intake) applyConfRow(row rows.Row, learnt time.Time) {
 	if row.Gone {
 		return
 	}
 	i.operatorsMu.Lock()
 	defer i.operatorsMu.Unlock()
-	i.takeRules(row)
-	i.takeVersion(row, learnt)
+	i.applyRules(row)
+	i.applyVersion(row, learnt)
 }
 
-// takeRules takes a configuration that is newer than the one in force: a later version, or the same in a later row. It needs the lock.
-func (i *Intake) takeRules(row rows.Row) {
+// applyRules applies a configuration with a higher version, or the same version in a later row. It needs the lock.
+func (i *Intake) applyRules(row rows.Row) {
 	r, ok, err := i.Rules(row)
 	if err != nil {
 		i.Log.Warn("configuration cannot be read", zap.String("row", row.Key), zap.Int64("revision", row.Rev), zap.Error(err))
@@ -144,18 +144,19 @@
 		return
 	}
 	if r.Version < known {
-		i.Log.Info("older configuration not applied", zap.Int64("version", r.Version), zap.Int64("known", known), zap.Int64("revision", row.Rev))
+		i.Log.Info("older configuration not applied", zap.Int64("version", r.Version), zap.Int64("known", known),
+			zap.Int64("revision", row.Rev))
 		return
 	}
-	i.swap(func(v view.View) view.View { return v.WithRules(r) })
+	i.updateView(func(v view.View) view.View { return v.WithRules(r) })
 	i.operators[row.Key] = row
-	i.Applied(row)
+	i.OnConfigApplied(row)
 	i.Log.Info("configuration applied", zap.Int64("version", r.Version), zap.Int64("revision", row.Rev),
 		zap.Int("bytes", len(row.Value)), zap.Int("hosts", len(r.Routes)), zap.Int("pools", len(r.Pools)))
 }
 
-// takeVersion takes the version of an adapter that operators have named. It needs the lock.
-func (i *Intake) takeVersion(row rows.Row, learnt time.Time) {
+// applyVersion applies the version of an adapter that operators have named. It needs the lock.
+func (i *Intake) applyVersion(row rows.Row, learnt time.Time) {
 	adapter, version, ok, err := i.Version(row)
 	if err != nil {
 		i.Log.Warn("version of an adapter cannot be read", zap.String("row", row.Key), zap.Error(err))
@@ -167,6 +168,6 @@
 	if version >= i.View().Versions[adapter] {
 		i.operators[row.Key] = row
 	}
-	i.swap(func(v view.View) view.View { return v.WithVersion(adapter, version, learnt) })
+	i.updateView(func(v view.View) view.View { return v.WithVersion(adapter, version, learnt) })
 	i.Log.Info("version named", zap.String("adapter", adapter), zap.Int("version", version), zap.Int64("revision", row.Rev))
 }
--- a/internal/intake/source_test.go
+++ b/internal/intake/fakestore_test.go
@@ -17,34 +17,34 @@
 	"damaskreach/internal/target"
 )
 
-// source is a store whose answers are set by the test.
-type source struct {
-	mu    sync.Mutex
-	rows  map[string][]rows.Row // all rows by prefix
-	down  bool
-	gone  bool // the history is gone
-	slow  time.Duration
-	asks  int        // calls about upstreams that it answered
-	tails int        // times it was asked what changed of them
-	pass  []rows.Row // registrations that another host passes on
-	rev   int64
+// fakeStore is a store whose answers are set by the test.
+type fakeStore struct {
+	mu        sync.Mutex
+	rows      map[string][]rows.Row // all rows by prefix
+	down      bool
+	compacted bool // the history is compacted
+	latency   time.Duration
+	calls     int        // calls for registrations, without those refused as compacted
+	tails     int        // calls for changes of registrations
+	forwarded []rows.Row // registrations that another host forwards
+	rev       int64
 }
 
-func (s *source) table() table.Table {
-	// An answer is of one moment, like the store's: rows of before the store came back don't bear a revision of after it.
+func (s *fakeStore) table() table.Table {
+	// Rows and revision are taken at one moment, like the store's: rows from before a restore must not get a revision from after it.
 	answer := func(ctx context.Context, prefix string, tail bool) ([]rows.Row, int64, error) {
 		s.mu.Lock()
 		if tail && prefix == "up/" {
 			s.tails++
 		}
-		if tail && s.gone {
+		if tail && s.compacted {
 			s.mu.Unlock()
 			return nil, 0, table.ErrCompacted
 		}
 		s.rev++
-		slow, list, rev := s.slow, s.rows[prefix], s.rev
+		slow, list, rev := s.latency, s.rows[prefix], s.rev
 		if prefix == "up/" {
-			s.asks++
+			s.calls++
 		}
 		s.mu.Unlock()
 		select {
@@ -79,26 +79,26 @@
 	}
 }
 
-// passed returns once what another host passes on.
-func (s *source) passed(prefix string, after int64) ([]rows.Row, int64, bool) {
+// takeForwarded returns what another host forwards, once.
+func (s *fakeStore) takeForwarded(prefix string, after int64) ([]rows.Row, int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if prefix != "up/" || s.pass == nil {
+	if prefix != "up/" || s.forwarded == nil {
 		return nil, 0, false
 	}
-	list := s.pass
-	s.pass = nil
+	list := s.forwarded
+	s.forwarded = nil
 	return list, after + 10, true
 }
 
-func (s *source) set(change func()) {
+func (s *fakeStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// reads returns a function that reads what the test sets under the lock.
-func (s *source) reads(flag *bool) func() bool {
+// lockedFlag returns a function that reads a flag under the lock.
+func (s *fakeStore) lockedFlag(flag *bool) func() bool {
 	return func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -110,12 +110,12 @@
 
 func gone(key string) rows.Row { return rows.Row{Key: "up/" + key, Gone: true} }
 
-// start runs an intake; prepare changes it before.
-func start(t *testing.T, s *source, prepare ...func(i *intake.Intake)) *intake.Intake {
+// start runs an intake; prepare functions modify it first.
+func start(t *testing.T, s *fakeStore, prepare ...func(i *intake.Intake)) *intake.Intake {
 	i := intake.NewIntake()
 	i.Table, i.Conf, i.Targets, i.Log = s.table(), "op/", "up/", zap.NewNop()
-	i.Every = func() time.Duration { return time.Second }
-	i.Pause = func() time.Duration { return 250 * time.Millisecond }
+	i.ReadInterval = func() time.Duration { return time.Second }
+	i.RetryDelay = func() time.Duration { return 250 * time.Millisecond }
 	i.Rules = func(row rows.Row) (rules.Rules, bool, error) {
 		if len(row.Value) == 0 {
 			return rules.Rules{}, false, errors.New("unreadable")
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,4 +1,4 @@
-// Package intake keeps a host's view of the platform up to date from the platform's store.
+// Package intake keeps a host's view of the upstreams and the configuration up to date from the store and from other hosts.
 package intake
 
 import (
@@ -17,109 +17,113 @@
 	"damaskreach/internal/view"
 )
 
-// callFor bounds a reading; a connection that fell silent shows in nothing else.
-const callFor = 700 * time.Millisecond
+// callTimeout bounds a reading; a silent connection shows in nothing else.
+const callTimeout = 700 * time.Millisecond
 
-// confFor bounds a list of the operators' rows; the store's adapter ends one that makes no progress. Thousands of routes take seconds on a narrow link.
-const confFor = 30 * time.Second
+// confListTimeout bounds a list of the operators' rows: thousands of routes take seconds on a narrow link. The store's adapter ends a list
+// that makes no progress.
+const confListTimeout = 30 * time.Second
 
-// Intake holds the newest view. Its fields are set before Run.
+// Intake holds the latest view. Its exported fields are set before RunConf and RunTargets.
 type Intake struct {
-	Table   table.Table
-	Conf    string // prefix of the operators' rows; its Tail waits for a change
-	Targets string // prefix of the upstreams' registrations
-	Every   func() time.Duration
-	// Again returns how long after the beginning of a reading of the registrations that took so long the next one begins.
-	Again func(took time.Duration) time.Duration
-	Clock func() time.Duration // goes on through suspensions
-	// Rules, Target and Version decode rows; a row that is none of their kind is an error and changes nothing.
+	Table        table.Table
+	Conf         string // prefix of the operators' rows; Tail waits for a change of them
+	Targets      string // prefix of the upstreams' registrations
+	ReadInterval func() time.Duration
+	// NextReadDelay returns the time from the start of one reading of registrations to the next, given how long the reading took.
+	NextReadDelay func(took time.Duration) time.Duration
+	Clock         func() time.Duration // must count time while the host is suspended
+	// Rules, Target and Version decode rows. Rules and Version report false for a row of another kind; a row that fails is not applied.
 	Rules   func(row rows.Row) (rules.Rules, bool, error)
 	Target  func(row rows.Row) (target.Target, error)
 	Version func(row rows.Row) (adapter string, version int, ok bool, err error)
-	// Relaxed reports whether another host reads for this one at present.
-	Relaxed func() bool
-	// Pause returns how long to wait after a failed reading. Where the store is away from all, hundreds of hosts that tried a few times
-	// a second each would be most of its calls when it comes back.
-	Pause func() time.Duration
-	// Passed returns rows under a prefix that changed after a revision, up to another, where another host has passed them on.
-	Passed func(prefix string, after int64) (list []rows.Row, rev int64, ok bool)
-	// Others returns all rows under a prefix as another host knows them, and up to which revision; ok is false where none tells.
-	Others func(ctx context.Context, prefix string) (list []rows.Row, rev int64, ok bool)
-	// Patience returns for how long this host leaves the store's whole list to others when it starts.
-	Patience func() time.Duration
-	// Read is called after each reading of the registrations from the store.
-	Read func()
-	// Changed is called after a change that others should know of.
-	Changed func()
-	// Keep takes the rows that others should know of among those that changed after a revision, or feed.Whole, up to another.
-	Keep func(prefix string, after, rev int64, list []rows.Row)
-	// Applied takes the row of a configuration that has come into force.
-	Applied func(row rows.Row)
-	Log     *zap.Logger
+	// ReadDelegated reports whether this host currently leaves reading the store to another host.
+	ReadDelegated func() bool
+	// RetryDelay returns the wait after a failed reading. After an outage, hundreds of hosts that retry a few times a second each would make
+	// up most of the store's load.
+	RetryDelay func() time.Duration
+	// Forwarded returns the rows under a prefix that changed after a revision, and up to which one, where another host has forwarded them.
+	Forwarded func(prefix string, after int64) (list []rows.Row, rev int64, ok bool)
+	// FetchFromHost returns all rows under a prefix as another host knows them, and their revision; ok is false where no host answers.
+	FetchFromHost func(ctx context.Context, prefix string) (list []rows.Row, rev int64, ok bool)
+	// ListDelay returns for how long a starting host asks others before it has the store send the whole list.
+	ListDelay func() time.Duration
+	// OnRead is called after each reading of the registrations from the store.
+	OnRead func()
+	// OnChange is called after a change that other hosts should learn of.
+	OnChange func()
+	// RecordChanges takes the rows to forward to other hosts, changed after one revision (or feed.Whole) and up to another.
+	RecordChanges func(prefix string, after, rev int64, list []rows.Row)
+	// OnConfigApplied takes the row of a configuration that has been applied.
+	OnConfigApplied func(row rows.Row)
+	Log             *zap.Logger
 
-	current atomic.Pointer[view.View]
-	missing map[string]time.Time
-	lost    time.Time // when readings of registrations began to fail
-	taken   time.Time // when registrations were last taken, from the store or from another host
-	tooMany float64   // upstreams times seconds whose changes are more than one answer has; 0 where none were yet
-	away    atomic.Bool
-	outage  outage
-	copied  copied
-	era     rising.Rising // the newest that this host has learnt of, and one; 0 where it knows of none yet
-	bad     map[string]int64
+	current      atomic.Pointer[view.View]
+	missing      map[string]time.Time
+	failingSince time.Time // start of the first failed reading of registrations since one succeeded
+	appliedAt    time.Time // when registrations were last applied, from the store or another host
+	tailOverflow float64   // upstreams times seconds whose changes exceed one answer; 0 if unknown
+	storeDown    atomic.Bool
+	outage       outage
+	heldBack     heldBack
+	era          rising.Rising // latest known era plus one; 0 if none is known
+	unreadable   map[string]int64
 
 	rawMu sync.Mutex
-	raw   map[string]rows.Row // registrations as they were read last, by id
+	raw   map[string]rows.Row // registrations as last read, by ID
 
 	operatorsMu sync.Mutex
-	operators   map[string]rows.Row // the operators' rows that are in force, by key
+	operators   map[string]rows.Row // operators' rows in force, by key
 
-	confAt     atomic.Int64  // revision up to which the operators' rows are read
-	confMark   atomic.Int64  // of their newest change
-	confTold   rising.Rising // of the newest change that another host has told of
-	confRead   atomic.Int64  // when they were last read, in nanoseconds of the clock; 0 means never
-	confWake   chan struct{}
-	targetAt   atomic.Int64
-	targetMark atomic.Int64
-	targetRead atomic.Int64 // when the last reading of registrations began, likewise
-	targetWake chan struct{}
+	confAt       atomic.Int64  // revision up to which the operators' rows are applied
+	confMark     atomic.Int64  // revision of their latest change
+	confReported rising.Rising // revision of the latest change that another host has reported
+	confRead     atomic.Int64  // when they were last read, in nanoseconds of Clock; 0 means never
+	confWake     chan struct{}
+	targetAt     atomic.Int64
+	targetMark   atomic.Int64
+	targetRead   atomic.Int64 // start of the last reading of registrations, in nanoseconds of Clock
+	targetWake   chan struct{}
 }
 
-// NewIntake returns an intake that knows nothing yet.
+// NewIntake returns an Intake with an empty view.
 func NewIntake() *Intake {
 	begun := time.Now()
 	i := &Intake{
 		Clock:   func() time.Duration { return time.Since(begun) },
-		missing: map[string]time.Time{}, bad: map[string]int64{}, confWake: make(chan struct{}, 1), targetWake: make(chan struct{}, 1),
-		Relaxed: func() bool { return false }, Changed: func() {}, Read: func() {}, raw: map[string]rows.Row{}, operators: map[string]rows.Row{},
-		Others:   func(context.Context, string) ([]rows.Row, int64, bool) { return nil, 0, false },
-		Patience: func() time.Duration { return 0 },
-		Passed:   func(string, int64) ([]rows.Row, int64, bool) { return nil, 0, false }, Keep: func(string, int64, int64, []rows.Row) {}, Applied: func(rows.Row) {},
+		missing: map[string]time.Time{}, unreadable: map[string]int64{}, confWake: make(chan struct{}, 1), targetWake: make(chan struct{}, 1),
+		ReadDelegated: func() bool { return false }, OnChange: func() {}, OnRead: func() {},
+		raw: map[string]rows.Row{}, operators: map[string]rows.Row{},
+		FetchFromHost:   func(context.Context, string) ([]rows.Row, int64, bool) { return nil, 0, false },
+		ListDelay:       func() time.Duration { return 0 },
+		Forwarded:       func(string, int64) ([]rows.Row, int64, bool) { return nil, 0, false },
+		RecordChanges:   func(string, int64, int64, []rows.Row) {},
+		OnConfigApplied: func(rows.Row) {},
 	}
-	i.Again = func(time.Duration) time.Duration { return i.Every() }
+	i.NextReadDelay = func(time.Duration) time.Duration { return i.ReadInterval() }
 	i.current.Store(&view.View{})
 	return i
 }
 
-// moment returns the clock's nanoseconds, never 0. What lies between two of them is told to other hosts as an age: the time of day may be set
-// back, and the steady clock stands still while the host is suspended; by either a reading would seem younger than it is.
-func (i *Intake) moment() int64 {
+// clockNanos returns the clock's nanoseconds, never 0. Ages reported to other hosts come from this clock: the time of day may be set back,
+// and the monotonic clock stops while the host is suspended; either would make a reading seem too recent.
+func (i *Intake) clockNanos() int64 {
 	return max(1, i.Clock().Nanoseconds())
 }
 
-// since returns how long ago a moment was, and whether there was one.
-func (i *Intake) since(at *atomic.Int64) (age time.Duration, ok bool) {
+// ageOf returns the time since a value of clockNanos, and whether it was ever set.
+func (i *Intake) ageOf(at *atomic.Int64) (age time.Duration, ok bool) {
 	then := at.Load()
-	return time.Duration(i.moment() - then), then > 0
+	return time.Duration(i.clockNanos() - then), then > 0
 }
 
-// View returns the newest view.
+// View returns the latest view.
 func (i *Intake) View() view.View {
 	return *i.current.Load()
 }
 
-// swap applies a change. Two goroutines write: one for the operators' rows and one for registrations.
-func (i *Intake) swap(change func(v view.View) view.View) {
+// updateView applies a change. Two goroutines write: one for the operators' rows, one for registrations.
+func (i *Intake) updateView(change func(v view.View) view.View) {
 	for {
 		old := i.current.Load()
 		changed := change(*old)
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -10,24 +10,24 @@
 	"damaskreach/internal/rows"
 )
 
-// The store was away, and registrations lapsed meanwhile though the upstreams live. Dropped at once, every request would be
-// refused until they have registered again; those that do not come back are dropped all the same.
-func TestUpstreamsThatLapsedWithTheStoreGetTimeToComeBack(t *testing.T) {
+// Registrations expired during an outage of the store though the upstreams live. Dropped at once, every request would be refused until
+// they register again; those that do not are dropped after the grace.
+func TestLapsedUpstreamsGetGraceAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
 		i := start(t, s)
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(5 * time.Second)
-		s.set(func() {
-			s.down, s.gone = false, true
+		s.update(func() {
+			s.down, s.compacted = false, true
 			s.rows["up/"] = nil
 		})
 		time.Sleep(1500 * time.Millisecond)
 		if got, want := len(i.View().Targets), 2; got != want {
 			t.Fatalf("upstreams = %d, want %d", got, want)
 		}
-		s.set(func() { s.rows["up/"] = []rows.Row{reg("b")} })
+		s.update(func() { s.rows["up/"] = []rows.Row{reg("b")} })
 		time.Sleep(3 * time.Second)
 		if _, ok := i.View().Targets["a"]; ok || len(i.View().Targets) != 1 {
 			t.Errorf("upstreams = %v, want b alone", i.View().Targets)
@@ -35,19 +35,18 @@
 	})
 }
 
-// The store is back and an upstream's registration vanishes a second later. It gets no time of its own: what is missing 2.2 s after
-// the return is gone, also where the next regular reading would come later. Counted from when it was missed, requests went
-// to an engine that had begun to leave three seconds before.
-func TestUpstreamThatVanishesAfterTheReturnGetsNoMoreTime(t *testing.T) {
+// An upstream's registration vanishes a second after the store's return. The grace ends 2.2 s after the return, also where the next regular
+// reading is later. Counted from when it was missed, requests went to an engine that had begun to drain three seconds before.
+func TestGraceAfterOutageEndsForAllAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
 		i := start(t, s)
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(5 * time.Second)
-		s.set(func() { s.down = false })
-		time.Sleep(800 * time.Millisecond) // within which the host has read again
-		s.set(func() { s.rows["up/"] = []rows.Row{gone("a")} })
+		s.update(func() { s.down = false })
+		time.Sleep(800 * time.Millisecond) // time for one reading
+		s.update(func() { s.rows["up/"] = []rows.Row{gone("a")} })
 		time.Sleep(1900 * time.Millisecond)
 		if _, ok := i.View().Targets["a"]; ok {
 			t.Error("a is still used 2.7 s after the store's return, want it gone")
@@ -58,54 +57,53 @@
 	})
 }
 
-// The store turns a host away for seconds while it serves the others, which go on telling it how far they have read. Nothing lapses meanwhile:
-// an upstream that vanishes after the host's return is gone at once. And the host need not ask the store at each message: hundreds
-// that did would be most of its calls.
-func TestHostThatIsTurnedAwayTakesThatForNoOutage(t *testing.T) {
+// The store refuses one host for seconds while others go on to report their readings. Nothing expires: an upstream that vanishes after the
+// host's return is removed at once. Nor may the host call the store at each report: hundreds that did would make up most of its load.
+func TestRefusalOfOneHostIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
-		i := start(t, s, func(i *intake.Intake) { i.Pause = func() time.Duration { return time.Second } })
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		i := start(t, s, func(i *intake.Intake) { i.RetryDelay = func() time.Duration { return time.Second } })
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.down, s.asks = true, 0 })
+		s.update(func() { s.down, s.calls = true, 0 })
 		for range 40 {
 			time.Sleep(200 * time.Millisecond)
-			i.Wake(marks.Marks{Age: 300})
+			i.ObserveMarks(marks.Marks{Age: 300})
 		}
-		s.set(func() {
-			if got, want := s.asks, 2*9; got > want { // a list may follow a tail
-				t.Errorf("asked the store %d times in 8 s, want %d at most", got, want)
+		s.update(func() {
+			if got, want := s.calls, 2*9; got > want { // a list may follow a tail
+				t.Errorf("%d calls to the store in 8 s, want %d at most", got, want)
 			}
 			s.down = false
 		})
 		time.Sleep(1100 * time.Millisecond)
-		s.set(func() { s.rows["up/"] = []rows.Row{gone("a")} })
+		s.update(func() { s.rows["up/"] = []rows.Row{gone("a")} })
 		time.Sleep(1100 * time.Millisecond)
-		if _, ok := i.View().Targets["a"]; ok || i.Away() {
-			t.Errorf("upstreams = %v, away = %v, want b alone and the store back", i.View().Targets, i.Away())
+		if _, ok := i.View().Targets["a"]; ok || i.StoreDown() {
+			t.Errorf("upstreams = %v, store down = %v, want b alone and the store back", i.View().Targets, i.StoreDown())
 		}
 	})
 }
 
-// The store is back, and another host passes on that a registration has vanished, within the time that upstreams get to register again.
-// The host lets others read, and must end that time all the same, or it uses the upstream for a minute more.
-func TestPassedOnLossEndsWithTheTimeToComeBack(t *testing.T) {
+// Another host forwards that a registration vanished, within the grace after an outage. A host that leaves reading to others must still end
+// the grace on time, or it uses the upstream for a minute more.
+func TestForwardedRemovalTakesEffectAtGraceEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
-		relaxed := false
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		delegated := false
 		i := start(t, s, func(i *intake.Intake) {
-			i.Relaxed = s.reads(&relaxed)
-			i.Passed = s.passed
+			i.ReadDelegated = s.lockedFlag(&delegated)
+			i.Forwarded = s.takeForwarded
 		})
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(5 * time.Second)
-		s.set(func() { s.down, relaxed = false, true })
-		time.Sleep(1700 * time.Millisecond) // it has read again, and rests
-		s.set(func() {
-			s.pass = []rows.Row{gone("a")}
+		s.update(func() { s.down, delegated = false, true })
+		time.Sleep(1700 * time.Millisecond) // it has read again, and leaves reading to others
+		s.update(func() {
+			s.forwarded = []rows.Row{gone("a")}
 			s.rows["up/"] = nil
 		})
-		i.Wake(marks.Marks{Targets: 1000})
+		i.ObserveMarks(marks.Marks{Targets: 1000})
 		time.Sleep(2 * time.Second)
 		if _, ok := i.View().Targets["a"]; ok {
 			t.Error("a is still used 3.7 s after the store's return, want it gone")
@@ -113,24 +111,23 @@
 	})
 }
 
-// The store was away from hundreds of hosts, which try it the more rarely the more of them there are. The host that reads for a
-// data centre finds it back first; the others must not wait for their own next try, or they would use upstreams that have left
-// since for as much longer.
-func TestReturnOfTheStoreIsLearntFromOthers(t *testing.T) {
+// Hundreds of hosts retry the store the more rarely the more of them there are. The reader of a data centre finds it back first; if others
+// waited for their own retry, they would use upstreams that have left for as much longer.
+func TestReturnOfStoreIsLearntFromOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
-		i := start(t, s, func(i *intake.Intake) { i.Pause = func() time.Duration { return time.Hour } })
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		i := start(t, s, func(i *intake.Intake) { i.RetryDelay = func() time.Duration { return time.Hour } })
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(5 * time.Second)
-		s.set(func() {
-			s.down, s.gone = false, true
+		s.update(func() {
+			s.down, s.compacted = false, true
 			s.rows["up/"] = []rows.Row{reg("a")}
 		})
-		i.Wake(marks.Marks{Age: 100})
+		i.ObserveMarks(marks.Marks{Age: 100})
 		time.Sleep(4 * time.Second)
-		if _, ok := i.View().Targets["b"]; ok || i.Away() {
-			t.Errorf("upstreams = %v, away = %v, want a alone and the store back", i.View().Targets, i.Away())
+		if _, ok := i.View().Targets["b"]; ok || i.StoreDown() {
+			t.Errorf("upstreams = %v, store down = %v, want a alone and the store back", i.View().Targets, i.StoreDown())
 		}
 	})
 }
--- a/internal/intake/reading_test.go
+++ b/internal/intake/reading_test.go
@@ -10,17 +10,17 @@
 	"damaskreach/internal/rows"
 )
 
-// The store lets a host wait for nothing, while another host passes on that an upstream has left. Were that taken only once the call has
-// failed, the host would use the upstream for most of a second more.
-func TestPassedOnChangesWaitForNoSilentStore(t *testing.T) {
+// Another host forwards that an upstream has left while the store is silent. Applied only when the call has failed, the host would use the
+// upstream for most of a second more.
+func TestForwardedChangesApplyWhileStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
-		i := start(t, s, func(i *intake.Intake) { i.Passed = s.passed })
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		i := start(t, s, func(i *intake.Intake) { i.Forwarded = s.takeForwarded })
 		time.Sleep(2900 * time.Millisecond)
-		s.set(func() { s.slow, s.down = time.Hour, true })
+		s.update(func() { s.latency, s.down = time.Hour, true })
 		time.Sleep(150 * time.Millisecond) // a reading has begun
-		s.set(func() { s.pass = []rows.Row{gone("a")} })
-		i.Wake(marks.Marks{Targets: 1000})
+		s.update(func() { s.forwarded = []rows.Row{gone("a")} })
+		i.ObserveMarks(marks.Marks{Targets: 1000})
 		synctest.Wait()
 		if _, ok := i.View().Targets["a"]; ok || len(i.View().Targets) != 1 {
 			t.Errorf("upstreams = %v, want b alone at once", i.View().Targets)
@@ -28,24 +28,24 @@
 	})
 }
 
-// A host let another one read for half a minute, and reads again. By then each upstream has registered dozens of times: changes come to many
-// times what a list of all has, more than the store returns, so that the list would follow and the host know late.
-func TestHostFarBehindListsAtOnce(t *testing.T) {
+// After half a minute of delegation each upstream has registered dozens of times: the changes outnumber a list of all, and exceed what the
+// store returns. A host that asked for them first would have to list afterwards, and know late.
+func TestHostFarBehindListsWithoutTail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
-		relaxed := false
+		s := &fakeStore{rows: map[string][]rows.Row{"up/": {reg("a"), reg("b")}}}
+		delegated := false
 		i := start(t, s, func(i *intake.Intake) {
-			i.Relaxed = s.reads(&relaxed)
+			i.ReadDelegated = s.lockedFlag(&delegated)
 		})
 		time.Sleep(3 * time.Second)
-		s.set(func() { relaxed = true })
+		s.update(func() { delegated = true })
 		time.Sleep(30 * time.Second)
-		s.set(func() { s.gone, s.asks, s.tails = true, 0, 0 })
-		i.Wake(marks.Marks{Targets: 1000})
+		s.update(func() { s.compacted, s.calls, s.tails = true, 0, 0 })
+		i.ObserveMarks(marks.Marks{Targets: 1000})
 		time.Sleep(100 * time.Millisecond)
-		s.set(func() {
-			if s.asks != 1 || s.tails != 0 {
-				t.Errorf("asked for %d lists after %d times for changes, want one list alone", s.asks, s.tails)
+		s.update(func() {
+			if s.calls != 1 || s.tails != 0 {
+				t.Errorf("%d answered calls, %d calls for changes, want one list alone", s.calls, s.tails)
 			}
 		})
 	})
--- a/internal/intake/targets.go
+++ b/internal/intake/targets.go
@@ -16,142 +16,142 @@
 	"damaskreach/internal/view"
 )
 
-// RunTargets follows the upstreams' registrations until ctx ends.
+// RunTargets keeps the upstreams' registrations up to date until ctx ends.
 func (i *Intake) RunTargets(ctx context.Context) {
 	for ctx.Err() == nil {
-		i.passedTargets()
+		i.applyForwardedTargets()
 		began := time.Now()
 		if err := i.readTargets(ctx, began); err != nil {
 			i.Log.Debug("registrations not read", zap.Error(err))
-			i.away.Store(true)
-			if i.lost.IsZero() {
-				i.lost = began
+			i.storeDown.Store(true)
+			if i.failingSince.IsZero() {
+				i.failingSince = began
 				age, _ := i.Age()
 				i.Log.Info("store lost", zap.Duration("age", age), zap.Error(err))
 			}
-			i.pause(ctx, i.targetWake, i.passedTargets)
+			i.waitToRetry(ctx, i.targetWake, i.applyForwardedTargets)
 			continue
 		}
-		i.untilNext(ctx, began.Add(i.Again(time.Since(began))))
+		i.waitForNextReading(ctx, began.Add(i.NextReadDelay(time.Since(began))))
 	}
 }
 
-// passedTargets takes registrations that another host has passed on; it reports false where there are none. They wait for no reading: each
-// host on their way would add the pause between two readings to the time for which an upstream that leaves gets new work.
-func (i *Intake) passedTargets() bool {
+// applyForwardedTargets applies forwarded registrations; it reports false where there are none. They don't wait for a reading: each host
+// that forwards them would add a read interval to the time for which a draining upstream gets new requests.
+func (i *Intake) applyForwardedTargets() bool {
 	after := i.targetAt.Load()
 	if after == 0 {
 		return false
 	}
-	list, rev, ok := i.Passed(i.Targets, after)
+	list, rev, ok := i.Forwarded(i.Targets, after)
 	if !ok {
 		return false
 	}
-	i.takeTargets(list, false, rev, time.Now())
+	i.applyTargets(list, false, rev, time.Now())
 	return true
 }
 
-// takeTargets takes registrations that changed since the last that were taken, up to a revision, or all that there are at that revision.
-func (i *Intake) takeTargets(list []rows.Row, whole bool, rev int64, now time.Time) {
-	i.entered(rev)
-	news := i.apply(list, whole, rev, now)
+// applyTargets applies registrations: those that changed since the last applied revision, up to rev, or all that exist at rev.
+func (i *Intake) applyTargets(list []rows.Row, whole bool, rev int64, now time.Time) {
+	i.observeEra(rev)
+	changes := i.mergeTargets(list, whole, rev, now)
 	after := i.targetAt.Load()
 	if after == 0 {
 		after = feed.Whole
 	}
-	i.Keep(i.Targets, after, rev, news)
+	i.RecordChanges(i.Targets, after, rev, changes)
 	i.targetAt.Store(rev)
-	i.taken = now
-	if len(news) > 0 {
-		i.targetMark.Store(newest(news))
-		i.Changed()
+	i.appliedAt = now
+	if len(changes) > 0 {
+		i.targetMark.Store(newestRev(changes))
+		i.OnChange()
 	}
 }
 
-// apply works out which upstreams there are. One that vanished is gone, unless the store was away a moment ago: then its
-// registration may have lapsed with the store, and it gets the time in which it registers again. It returns the rows that say what
-// changed, oldest first, also where that shows in what a list of all rows lacks: hosts that let this one read learn it from nothing else.
-func (i *Intake) apply(list []rows.Row, whole bool, rev int64, now time.Time) (news []rows.Row) {
+// mergeTargets updates the set of upstreams. One that vanished is removed, unless the store was down a moment ago: its registration may
+// have expired with the store, and it gets time to register again. It returns the changed rows, oldest first, also for upstreams missing
+// from a list of all rows: hosts that leave reading to this one learn of the removal from nothing else.
+func (i *Intake) mergeTargets(list []rows.Row, whole bool, rev int64, now time.Time) (changes []rows.Row) {
 	targets := maps.Clone(i.View().Targets)
 	if targets == nil {
 		targets = map[string]target.Target{}
 	}
-	first := whole && older(i.targetAt.Load(), rev)
-	if first || whole && i.copied.long(now, i.Every()) {
-		i.copied.begin(now)
+	firstInEra := whole && olderEra(i.targetAt.Load(), rev)
+	if firstInEra || whole && i.heldBack.expired(now, i.ReadInterval()) {
+		i.heldBack.reset(now)
 	}
 	present := map[string]bool{}
 	for _, row := range list {
 		id := row.Key[len(i.Targets):]
 		if row.Gone {
-			i.copied.written(id, row.Rev)
-			news = append(news, row)
-			i.miss(targets, id, now)
+			i.heldBack.rewritten(id, row.Rev)
+			changes = append(changes, row)
+			i.markMissing(targets, id, now)
 			continue
 		}
 		t, err := i.decode(targets[id], row)
 		if err != nil {
-			i.warnBad(id, row.Rev, err)
+			i.warnUnreadable(id, row.Rev, err)
 			if _, known := targets[id]; known {
-				news = append(news, row)
+				changes = append(changes, row)
 			}
-			i.miss(targets, id, now)
+			i.markMissing(targets, id, now)
 			continue
 		}
 		present[id] = true
-		if i.holdBack(targets[id], t, row, first) {
+		if i.holdBack(targets[id], t, row, firstInEra) {
 			continue
 		}
-		i.keepRaw(id, row)
+		i.storeRaw(id, row)
 		delete(i.missing, id)
 		if i.logChange(targets[id], t) {
-			news = append(news, row)
+			changes = append(changes, row)
 		}
 		targets[id] = t
 	}
 	if whole {
-		i.copied.keep(present)
+		i.heldBack.retain(present)
 	}
 	for id := range targets {
 		if _, waits := i.missing[id]; whole && !present[id] && !waits {
-			news = append(news, i.lack(id, rev))
-			i.miss(targets, id, now)
+			changes = append(changes, i.goneRow(id, rev))
+			i.markMissing(targets, id, now)
 		}
 	}
-	if !now.Before(i.outage.ends()) {
+	if !now.Before(i.outage.graceEnd()) {
 		for id, since := range i.missing {
-			news = append(news, i.lack(id, rev))
+			changes = append(changes, i.goneRow(id, rev))
 			delete(i.missing, id)
 			delete(targets, id)
 			i.Log.Info("upstream gone", zap.String("target", id), zap.Duration("missing", now.Sub(since)))
 		}
 	}
-	i.dropRaw(targets)
-	i.swap(func(v view.View) view.View { return v.WithTargets(targets) })
-	slices.SortStableFunc(news, func(a, b rows.Row) int { return cmp.Compare(a.Rev, b.Rev) })
-	return news
+	i.pruneRaw(targets)
+	i.updateView(func(v view.View) view.View { return v.WithTargets(targets) })
+	slices.SortStableFunc(changes, func(a, b rows.Row) int { return cmp.Compare(a.Rev, b.Rev) })
+	return changes
 }
 
-// decode returns what a registration says. Most are written again as they were, and decoding thousands with each reading would be most of
-// what a host does.
+// decode returns the upstream of a registration. Most registrations are rewritten unchanged, and decoding thousands at each reading would
+// take most of a host's processor time.
 func (i *Intake) decode(old target.Target, row rows.Row) (target.Target, error) {
-	if old.ID != "" && bytes.Equal(i.rawOf(old.ID), row.Value) {
+	if old.ID != "" && bytes.Equal(i.rawValue(old.ID), row.Value) {
 		return old, nil
 	}
 	return i.Target(row)
 }
 
-// lack returns the row that says that an upstream has no registration at a revision.
-func (i *Intake) lack(id string, rev int64) rows.Row {
+// goneRow returns the row that reports an upstream's registration as deleted at a revision.
+func (i *Intake) goneRow(id string, rev int64) rows.Row {
 	return rows.Row{Key: i.Targets + id, Rev: rev, Gone: true}
 }
 
-func (i *Intake) miss(targets map[string]target.Target, id string, now time.Time) {
+func (i *Intake) markMissing(targets map[string]target.Target, id string, now time.Time) {
 	t, ok := targets[id]
 	if !ok {
 		return
 	}
-	if now.Before(i.outage.ends()) && !t.Draining {
+	if now.Before(i.outage.graceEnd()) && !t.Draining {
 		if _, ok := i.missing[id]; !ok {
 			i.missing[id] = now
 		}
@@ -161,15 +161,15 @@
 	i.Log.Info("upstream gone", zap.String("target", id))
 }
 
-// warnBad says once for each revision that a registration cannot be read.
-func (i *Intake) warnBad(id string, rev int64, err error) {
-	if i.bad[id] == 0 {
+// warnUnreadable logs the first registration of an upstream that cannot be read.
+func (i *Intake) warnUnreadable(id string, rev int64, err error) {
+	if i.unreadable[id] == 0 {
 		i.Log.Warn("registration cannot be read", zap.String("target", id), zap.Error(err))
 	}
-	i.bad[id] = rev
+	i.unreadable[id] = rev
 }
 
-// logChange says what is new about an upstream; it reports false where that is nothing but counts.
+// logChange logs what changed in an upstream; it reports false where only counts did.
 func (i *Intake) logChange(old, t target.Target) bool {
 	switch {
 	case old.ID == "":
