--- a/internal/edge/conffetch.go
+++ b/internal/edge/conffetch.go
@@ -58,7 +58,7 @@
 
 // fetchNamed fetches a configuration that another host announced, unless a fetch is under way.
 func (e *Edge) fetchNamed(ctx context.Context, g gossip.Gossip) {
-	for _, f := range g.Named {
+	for _, f := range g.LargeFeeds {
 		if f.Prefix == e.ConfPrefix && f.Rev > e.intake.ConfRev() && e.confFetch.begin(f, g.IP, time.Now()) {
 			go e.fetchConf(ctx)
 		}
@@ -142,7 +142,7 @@
 func (e *Edge) confSources(m *mates.Mates, from string) []mate.Mate {
 	hosts := []mate.Mate{e.tenure.Host(from)}
 	_, partners := m.Partners()
-	for _, h := range slices.Concat(partners, m.Ahead()) {
+	for _, h := range slices.Concat(partners, m.HigherRanked()) {
 		known := func(other mate.Mate) bool { return other.IP == h.IP }
 		if h.Centre == e.Setup().Centre && len(hosts) < maxConfSources && !slices.ContainsFunc(hosts, known) {
 			hosts = append(hosts, h)
@@ -163,7 +163,7 @@
 // newFetch returns a client that fetches rows from other hosts.
 func (e *Edge) newFetch(mesh *peer.Mesh) *fetch.Fetch {
 	ask := func(ctx context.Context, to mate.Mate, q piece.Piece) (c chunk.Chunk, err error) {
-		err = mesh.Ask(ctx, to.Peers, methodPiece, q, &c)
+		err = mesh.Ask(ctx, to.PeerAddr, methodPiece, q, &c)
 		return c, err
 	}
 	return &fetch.Fetch{Ask: ask, Past: &e.past, Log: e.Log}
--- a/internal/edge/detour.go
+++ b/internal/edge/detour.go
@@ -56,7 +56,7 @@
 	outcome := "none"
 	for _, h := range e.detourHosts() {
 		t, failed := tunnel.Open(ctx, h.IP, addr, func(ctx context.Context) (*strm.Stream, error) {
-			return e.mesh.Load().Open(ctx, h.Peers, methodForward, addr)
+			return e.mesh.Load().Open(ctx, h.PeerAddr, methodForward, addr)
 		})
 		if failed == nil {
 			e.Stats.Add(stats.Detours, 1, "outcome", "ok")
@@ -76,7 +76,7 @@
 	if m == nil {
 		return nil
 	}
-	reaching := m.Reaching()
+	reaching := m.Connected()
 	ips := make([]string, 0, len(reaching))
 	for ip := range reaching {
 		ips = append(ips, ip)
@@ -99,7 +99,7 @@
 		return !lost || lastReceived.After(lostSince)
 	}
 	m := e.mates.Load()
-	_, reaching := m.Reaching()[t.Host()]
+	_, reaching := m.Connected()[t.Host()]
 	return lost && reaching && t.Quiet()
 }
 
--- a/internal/edge/fallback.go
+++ b/internal/edge/fallback.go
@@ -44,7 +44,7 @@
 func (e *Edge) updateFallback() {
 	var living map[string]mate.Mate
 	if m := e.mates.Load(); m != nil {
-		living = m.Living()
+		living = m.Alive()
 	}
 	e.fallback.Store(newFallback(e.Setup().Mate(), living))
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -47,7 +47,7 @@
 		if m == nil {
 			return unknownAge
 		}
-		return m.Oldest().Seconds()
+		return m.MaxRelayAge().Seconds()
 	})
 	e.Stats.Gauge(stats.Room, e.jitter.Room)
 	e.Stats.Gauge(stats.LeaseLeft, func() float64 { return e.tenure.LeaseLeft().Seconds() })
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -60,10 +60,10 @@
 	mesh := peer.NewMesh(s.IP, [][]byte{e.tenure.Secret()}, e.Dial, e.Log).WithAddr(s.Peers).
 		WithBounds(bounds.NewBounds().WithKeepalive(pingInterval, pingTimeout).WithBackoff(minRedialDelay, maxRedialDelay))
 	m := mates.NewMates(s.Mate())
-	m.Hosts, m.Roster, m.Own, m.Add, m.Hear, m.Log = e.tenure.Hosts, e.roster, e.ownStatus, e.addFeeds,
+	m.Hosts, m.Roster, m.OwnStatus, m.Attach, m.Observe, m.Log = e.tenure.Hosts, e.roster, e.ownStatus, e.addFeeds,
 		func(g gossip.Gossip) { e.applyGossip(ctx, g) }, e.Log
-	m.Ask = func(ctx context.Context, to mate.Mate, g gossip.Gossip) (answer gossip.Gossip, err error) {
-		err = mesh.Ask(ctx, to.Peers, methodTell, g, &answer)
+	m.Send = func(ctx context.Context, to mate.Mate, g gossip.Gossip) (answer gossip.Gossip, err error) {
+		err = mesh.Ask(ctx, to.PeerAddr, methodTell, g, &answer)
 		return answer, err
 	}
 	peer.Answer(mesh, methodTell, func(_ context.Context, _ string, g gossip.Gossip) (gossip.Gossip, error) {
@@ -103,7 +103,7 @@
 // maxGossipAge returns how old information from other hosts may be.
 func (e *Edge) maxGossipAge() time.Duration {
 	if m := e.mates.Load(); m != nil {
-		return m.Times().Old()
+		return m.Rhythm().Old()
 	}
 	return selfReportInterval
 }
@@ -111,7 +111,7 @@
 // unusedAfter returns how long an adapter must have no reported use to count as unused.
 func (e *Edge) unusedAfter() time.Duration {
 	if m := e.mates.Load(); m != nil {
-		return m.Times().Unused()
+		return m.Rhythm().Unused()
 	}
 	return selfReportInterval
 }
@@ -119,7 +119,7 @@
 // applyGossip applies a message from another host.
 func (e *Edge) applyGossip(ctx context.Context, g gossip.Gossip) {
 	now := time.Now()
-	e.feeds.Hear(g.IP, g.Known, g.Feeds)
+	e.feeds.Hear(g.IP, g.KnownFeeds, g.Feeds)
 	e.fetchNamed(ctx, g)
 	e.applyMarks(g, now)
 	for _, b := range g.Hosts {
@@ -131,12 +131,12 @@
 		}
 		e.activity.setModelLoads(b.IP, b.ModelLoads)
 	}
-	for _, s := range g.Held {
+	for _, s := range g.Stocks {
 		e.holds.Update(s.ID, s.Incarnation, s.Sequence, s.Adapters)
 		e.speeds.SetReported(s.ID, s.EventInterval)
 	}
-	e.blame.AddBreaks(g.Broke, now)
-	e.giver.RecordUsage(g.Uses, now)
+	e.blame.AddBreaks(g.Breaks, now)
+	e.giver.RecordUsage(g.Usages, now)
 }
 
 // applyStock applies the state of an engine that this host owns.
@@ -144,7 +144,7 @@
 	e.holds.Update(s.ID, s.Incarnation, s.Sequence, s.Adapters)
 	e.holds.AddCached(s.ID, s.Incarnation, s.Recent)
 	e.speeds.SetReported(s.ID, s.EventInterval)
-	e.roster.Held(s)
+	e.roster.UpdateStock(s)
 }
 
 // trackUse records use of an adapter until done is called. The engine's owner is told, so that it does not evict the adapter first.
@@ -169,7 +169,7 @@
 		return ok
 	}
 	m := e.mates.Load()
-	return m != nil && m.Ordering(owner)
+	return m != nil && m.CanOwn(owner)
 }
 
 // admit asks an engine's owner to load an adapter and waits until a prompt may be sent. If the engine holds the adapter, a fallback host
@@ -188,7 +188,7 @@
 		return intent.ErrNotOwner
 	}
 	var text string
-	if err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodAdmit, e.withLimit(w), &text); err != nil {
+	if err := mesh.Ask(ctx, e.tenure.Host(owner).PeerAddr, methodAdmit, e.withLimit(w), &text); err != nil {
 		return err
 	}
 	return intent.DecodeError(text)
@@ -210,7 +210,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), turnEndTimeout)
 		defer cancel()
 		var none struct{}
-		if err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodSpent, s, &none); err != nil {
+		if err := mesh.Ask(ctx, e.tenure.Host(owner).PeerAddr, methodSpent, s, &none); err != nil {
 			e.Log.Debug("failed to report the end of a turn", zap.String("target", s.Engine), zap.Error(err))
 		}
 	}()
@@ -247,6 +247,6 @@
 		return ruling.Ruling{}, intent.ErrNotOwner
 	}
 	var r ruling.Ruling
-	err := mesh.Ask(ctx, e.tenure.Host(owner).Peers, methodCharge, c, &r)
+	err := mesh.Ask(ctx, e.tenure.Host(owner).PeerAddr, methodCharge, c, &r)
 	return r, err
 }
--- a/internal/edge/permit.go
+++ b/internal/edge/permit.go
@@ -50,7 +50,7 @@
 	if mesh == nil {
 		return ruling.Ruling{}, intent.ErrNotOwner
 	}
-	err = mesh.Ask(ctx, e.tenure.Host(counter).Peers, methodPermit, w, &r)
+	err = mesh.Ask(ctx, e.tenure.Host(counter).PeerAddr, methodPermit, w, &r)
 	return r, err
 }
 
--- a/internal/edge/reachability.go
+++ b/internal/edge/reachability.go
@@ -76,7 +76,7 @@
 // shouldYield reports whether this host should give up an engine: others reach upstreams, and its own route to it did not come back soon.
 func (e *Edge) shouldYield(id string) bool {
 	m := e.mates.Load()
-	return m != nil && len(m.Reaching()) > 0 && e.unreachableFor(id) >= yieldDelay
+	return m != nil && len(m.Connected()) > 0 && e.unreachableFor(id) >= yieldDelay
 }
 
 // hostReaches reports whether another host reaches upstreams, as far as it has reported.
@@ -86,6 +86,6 @@
 		return true
 	}
 	_, serves := m.Serving()[ip]
-	_, reaches := m.Reaching()[ip]
+	_, reaches := m.Connected()[ip]
 	return reaches || !serves
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -90,7 +90,7 @@
 	}
 	var addrs []string
 	for _, h := range lookup.Hosts(hosts, centre) {
-		addrs = append(addrs, h.Callers)
+		addrs = append(addrs, h.CallerAddr)
 	}
 	return addrs, min(lookupTTL, s.Life)
 }
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -62,8 +62,8 @@
 		return 0
 	}
 	away, before := e.intake.StoreDown(), 0
-	for _, h := range m.Ahead() {
-		if away || !m.Away(h.IP) {
+	for _, h := range m.HigherRanked() {
+		if away || !m.StoreDown(h.IP) {
 			before++
 		}
 		if before == limit {
@@ -134,10 +134,10 @@
 // applyMarks applies how far another host knows the store. If this host knows as much, it relies on that read. Otherwise it takes the rows
 // sent along, if any. If the sender knows only the marks and cannot read, hosts try to read one after the other.
 func (e *Edge) applyMarks(g gossip.Gossip, now time.Time) {
-	if g.Read == nil {
+	if g.ReadMarks == nil {
 		return
 	}
-	read := e.withoutPendingConf(*g.Read)
+	read := e.withoutPendingConf(*g.ReadMarks)
 	if e.covers(read) {
 		e.readers.Note(g.IP, time.Duration(read.Age)*time.Millisecond, now)
 		e.intake.ObserveMarks(read)
@@ -153,7 +153,7 @@
 
 // ownReadDelay returns how long this host leaves it to others to read what a message announces but does not contain.
 func (e *Edge) ownReadDelay(g gossip.Gossip) time.Duration {
-	missing := map[string]int64{e.TargetPrefix: g.Read.Targets, e.ConfPrefix: e.withoutPendingConf(*g.Read).Conf, tenure.Prefix: g.Read.Fleet}
+	missing := map[string]int64{e.TargetPrefix: g.ReadMarks.Targets, e.ConfPrefix: e.withoutPendingConf(*g.ReadMarks).Conf, tenure.Prefix: g.ReadMarks.Fleet}
 	for _, f := range slices.Concat(e.feeds.Known(), g.Feeds) {
 		if f.Rev >= missing[f.Prefix] {
 			delete(missing, f.Prefix)
@@ -189,7 +189,7 @@
 // isAlive reports whether another host answered recently.
 func (e *Edge) isAlive(ip string) bool {
 	m := e.mates.Load()
-	return m != nil && m.Live(ip)
+	return m != nil && m.IsAlive(ip)
 }
 
 // passedRows returns rows that another host has passed on.
@@ -242,9 +242,9 @@
 // addFeeds adds to a message how far this host knows the store, and the changes that its receiver has not seen. Only the reader sends rows
 // to other data centres: otherwise each relay would send each of theirs the same.
 func (e *Edge) addFeeds(to string, g *gossip.Gossip) {
-	g.Read, g.Known = e.readMarks(), e.feeds.Known()
+	g.ReadMarks, g.KnownFeeds = e.readMarks(), e.feeds.Known()
 	if e.tenure.Host(to).Centre == e.Setup().Centre || e.isReader() {
-		g.Feeds, g.Named = e.splitNamed(e.feeds.For(to))
+		g.Feeds, g.LargeFeeds = e.splitNamed(e.feeds.For(to))
 	}
 	for _, f := range g.Feeds {
 		e.Stats.Add(stats.RowsTold, int64(valueBytes(f.Rows)), "rows", f.Prefix)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip holds what two hosts tell each other: a question and its answer have the same form.
+// Package gossip holds the message that two hosts exchange: a request and its answer have the same form.
 package gossip
 
 import (
@@ -9,21 +9,21 @@
 	"damaskreach/internal/usage"
 )
 
-// Gossip is one message. It tells what changed since what the receiver has seen; see package roster.
+// Gossip is one message. It carries the changes that the receiver hasn't acknowledged; see package roster.
 type Gossip struct {
-	IP     string          `msgpack:"i"`
-	Start  string          `msgpack:"s"`           // tells the sender's numbers from those of its earlier starts
-	Relay  bool            `msgpack:"r,omitempty"` // it speaks for others too
-	Number int64           `msgpack:"n,omitempty"` // of the sender's newest change
-	After  int64           `msgpack:"f,omitempty"` // it tells the changes after this one; 0 means all that there is
-	Of     string          `msgpack:"o,omitempty"` // start of the receiver, as the sender knows it
-	Seen   int64           `msgpack:"k,omitempty"` // newest change of the receiver's that the sender has seen
-	Hosts  []status.Status `msgpack:"h,omitempty"`
-	Held   []stock.Stock   `msgpack:"e,omitempty"` // what engines hold
-	Uses   []usage.Usage   `msgpack:"u,omitempty"` // of engines whose orders come from the receiver or from hosts that it speaks for
-	Broke  []string        `msgpack:"b,omitempty"` // requests under which upstreams broke off, see package blame
-	Read   *marks.Marks    `msgpack:"m,omitempty"` // how far the store was read by a host that reads it for others
-	Known  []feed.Feed     `msgpack:"v,omitempty"` // how far the sender knows rows of the store; no rows in it
-	Feeds  []feed.Feed     `msgpack:"d,omitempty"` // rows of the store that the receiver does not know yet
-	Named  []feed.Feed     `msgpack:"w,omitempty"` // the same where the rows are too large for a message: it asks for them apart
+	IP                  string          `msgpack:"i"`
+	Incarnation         string          `msgpack:"s"`           // of the sender's roster and the scope; changes when the sender restarts
+	Relay               bool            `msgpack:"r,omitempty"` // the sender reports other hosts too
+	Sequence            int64           `msgpack:"n,omitempty"` // of the sender's latest change
+	After               int64           `msgpack:"f,omitempty"` // the message has the changes after this one; 0 means the full state
+	ReceiverIncarnation string          `msgpack:"o,omitempty"` // the receiver's incarnation, as the sender knows it
+	Acked               int64           `msgpack:"k,omitempty"` // latest change of the receiver that the sender has seen
+	Hosts               []status.Status `msgpack:"h,omitempty"`
+	Stocks              []stock.Stock   `msgpack:"e,omitempty"` // adapters on engines
+	Usages              []usage.Usage   `msgpack:"u,omitempty"` // of engines owned by the receiver or by hosts of its group
+	Breaks              []string        `msgpack:"b,omitempty"` // requests during which upstreams broke off, see package blame
+	ReadMarks           *marks.Marks    `msgpack:"m,omitempty"` // how far the sender has read the store, if it is a reader
+	KnownFeeds          []feed.Feed     `msgpack:"v,omitempty"` // versions of the store rows that the sender has, without rows
+	Feeds               []feed.Feed     `msgpack:"d,omitempty"` // store rows that the receiver lacks
+	LargeFeeds          []feed.Feed     `msgpack:"w,omitempty"` // like Feeds, for rows too large for a message; the receiver fetches them
 }
--- a/internal/mate/mate.go
+++ b/internal/mate/mate.go
@@ -1,34 +1,32 @@
-// Package mate holds what the store tells of one host to the others.
+// Package mate describes a host to the others, as the store lists it.
 package mate
 
 import "hash/fnv"
 
-// Mate is immutable.
+// Mate is one host. It is immutable.
 type Mate struct {
-	IP      string
-	Peers   string  // address for other hosts
-	Callers string  // address for callers
-	Centre  string  // data centre
-	Power   float64 // cores that its process may use
+	IP         string
+	PeerAddr   string  // address for other hosts
+	CallerAddr string  // address for callers
+	Centre     string  // data centre
+	Cores      float64 // cores that its process may use
 }
 
-// Before reports whether a host comes before another one where some of many do a duty for the rest. All hosts order each other
-// the same way without a word between them. Those with more processor time come first: a duty takes a small host's time from its
-// callers.
+// Before reports whether a host ranks before another one for duties that a few hosts do for all. All hosts compute the same order
+// without coordination. Hosts with more cores rank first, since a duty takes a small host's processor time from its callers.
 func (m Mate) Before(other Mate) bool {
-	if m.Power != other.Power {
-		return m.Power > other.Power
+	if m.Cores != other.Cores {
+		return m.Cores > other.Cores
 	}
-	mine, its := spread(m.IP), spread(other.IP)
-	if mine != its {
-		return mine < its
+	hash, otherHash := rankHash(m.IP), rankHash(other.IP)
+	if hash != otherHash {
+		return hash < otherHash
 	}
 	return m.IP < other.IP
 }
 
-// spread gives neighbouring addresses places far apart. It is written so that nothing is allocated: hosts compare hundreds of others with each
-// message.
-func spread(ip string) uint32 {
+// rankHash gives neighbouring addresses distant ranks. It avoids allocations, since hosts compare hundreds of others for each message.
+func rankHash(ip string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte("duty "))
 	sum.Write([]byte(ip))
--- a/internal/mate/mate_test.go
+++ b/internal/mate/mate_test.go
@@ -8,19 +8,19 @@
 	"damaskreach/internal/mate"
 )
 
-// place is how hosts of a former release order addresses.
-func place(ip string) uint32 {
+// formerRank is the rank of an address in former releases.
+func formerRank(ip string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte("duty " + ip))
 	return sum.Sum32()
 }
 
-// Hosts of two releases run beside each other while one replaces the other. Were they to order hosts differently, some would leave a duty to a
-// host that does not take it.
+// Hosts of two releases run side by side during an upgrade. If their orders differed, some would leave a duty to a host that
+// doesn't do it.
 func TestOrderIsThatOfFormerReleases(t *testing.T) {
 	for n := range 300 {
 		a, b := fmt.Sprintf("10.0.0.%d", n), fmt.Sprintf("10.0.1.%d", n)
-		got, want := mate.Mate{IP: a}.Before(mate.Mate{IP: b}), place(a) < place(b)
+		got, want := mate.Mate{IP: a}.Before(mate.Mate{IP: b}), formerRank(a) < formerRank(b)
 		if got != want {
 			t.Errorf("%s before %s = %v, want %v", a, b, got, want)
 		}
--- a/internal/mates/answer.go
+++ b/internal/mates/answer.go
@@ -6,27 +6,27 @@
 	"damaskreach/internal/gossip"
 )
 
-// Answer takes what another host asks and returns what it is told.
+// Answer applies another host's request and returns the answer.
 func (m *Mates) Answer(g gossip.Gossip) gossip.Gossip {
 	now := time.Now()
-	m.asked(g, now)
-	m.take(g, now)
+	m.recordRequest(g, now)
+	m.update(g, now)
 	answer := m.Roster.Answer(g, now)
-	m.Add(g.IP, &answer)
+	m.Attach(g.IP, &answer)
 	return answer
 }
 
-func (m *Mates) asked(g gossip.Gossip, now time.Time) {
+func (m *Mates) recordRequest(g gossip.Gossip, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if g.Relay {
-		m.relayed[g.IP] = now
+		m.lastRelay[g.IP] = now
 	} else {
-		m.member = now
+		m.lastMember = now
 	}
 }
 
-func (m *Mates) take(g gossip.Gossip, now time.Time) {
-	m.Roster.Hear(g, now)
-	m.Hear(g)
+func (m *Mates) update(g gossip.Gossip, now time.Time) {
+	m.Roster.Update(g, now)
+	m.Observe(g)
 }
--- a/internal/mates/fleet_test.go
+++ b/internal/mates/fleet_test.go
@@ -21,23 +21,23 @@
 	"damaskreach/internal/usage"
 )
 
-// way is how long a message takes.
-const way = 2 * time.Millisecond
+// latency is the network latency of a message.
+const latency = 2 * time.Millisecond
 
-// fleet is the hosts of a site with the network between them.
+// fleet is the hosts of a site and the network between them.
 type fleet struct {
 	t       *testing.T
 	size    int
 	centres int
 
-	mu     sync.Mutex
-	hosts  map[string]*host
-	cut    map[string]bool // hosts that no message reaches or leaves
-	halves bool            // no message passes between the lower and the upper half of the hosts
-	sent   int
-	bytes  int
-	pairs  map[[2]string]bool
-	answer map[string]int // messages that each host answered
+	mu          sync.Mutex
+	hosts       map[string]*host
+	cut         map[string]bool // hosts that are cut off from all others
+	partitioned bool            // the network is partitioned between the lower and the upper half of the hosts
+	sent        int
+	bytes       int
+	pairs       map[[2]string]bool
+	answer      map[string]int // messages that each host answered
 }
 
 type host struct {
@@ -45,17 +45,18 @@
 	fleet  *fleet
 	cancel context.CancelFunc
 
-	mu    sync.Mutex
-	loads map[string]int
-	uses  []usage.Usage
-	heard []usage.Usage // of engines that it orders
-	held  map[string]stock.Stock
-	broke []string
+	mu             sync.Mutex
+	loads          map[string]int
+	usages         []usage.Usage
+	receivedUsages []usage.Usage // of engines that it owns
+	stocks         map[string]stock.Stock
+	breaks         []string
 }
 
 func newFleet(t *testing.T, hosts, centres int) *fleet {
 	f := &fleet{
-		t: t, size: hosts, hosts: map[string]*host{}, centres: centres, cut: map[string]bool{}, pairs: map[[2]string]bool{}, answer: map[string]int{},
+		t: t, size: hosts, hosts: map[string]*host{}, centres: centres,
+		cut: map[string]bool{}, pairs: map[[2]string]bool{}, answer: map[string]int{},
 	}
 	for i := range hosts {
 		f.start(i)
@@ -64,7 +65,7 @@
 		for _, h := range f.hosts {
 			h.cancel()
 		}
-		time.Sleep(time.Second) // for messages under way
+		time.Sleep(time.Second) // for messages in progress
 		synctest.Wait()
 	})
 	return f
@@ -73,12 +74,12 @@
 func ip(i int) string { return fmt.Sprintf("10.0.%d.%d", i/250, i%250) }
 
 func (f *fleet) mate(i int) mate.Mate {
-	return mate.Mate{IP: ip(i), Peers: ip(i), Callers: ip(i), Centre: fmt.Sprint("dc-", i%f.centres), Power: 0.2}
+	return mate.Mate{IP: ip(i), PeerAddr: ip(i), CallerAddr: ip(i), Centre: fmt.Sprint("dc-", i%f.centres), Cores: 0.2}
 }
 
-// start starts the program on a host that knows of no other but by the store's rows.
+// start starts a host that knows of the others from the store's rows only.
 func (f *fleet) start(i int) *host {
-	h := &host{fleet: f, held: map[string]stock.Stock{}}
+	h := &host{fleet: f, stocks: map[string]stock.Stock{}}
 	h.Mates = mates.NewMates(f.mate(i))
 	h.Roster = roster.NewRoster(ip(i), func(engine string) string { return engine[:len(engine)-len("/e")] })
 	h.Log = zap.NewNop()
@@ -89,16 +90,16 @@
 		}
 		return all
 	}
-	h.Own = func() (status.Status, []usage.Usage, []string) {
+	h.OwnStatus = func() (status.Status, []usage.Usage, []string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		broke := h.broke
-		h.broke = nil
-		return status.Status{Requests: h.loads}, h.uses, broke
+		broke := h.breaks
+		h.breaks = nil
+		return status.Status{Requests: h.loads}, h.usages, broke
 	}
-	h.Hear = h.hear
-	h.Add = func(string, *gossip.Gossip) {}
-	h.Ask = func(ctx context.Context, to mate.Mate, g gossip.Gossip) (gossip.Gossip, error) {
+	h.Observe = h.observe
+	h.Attach = func(string, *gossip.Gossip) {}
+	h.Send = func(ctx context.Context, to mate.Mate, g gossip.Gossip) (gossip.Gossip, error) {
 		return f.ask(ctx, ip(i), to.IP, g)
 	}
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -110,22 +111,22 @@
 	return h
 }
 
-func (h *host) hear(g gossip.Gossip) {
+func (h *host) observe(g gossip.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range g.Held {
-		h.held[s.ID] = s
+	for _, s := range g.Stocks {
+		h.stocks[s.ID] = s
 	}
-	if len(g.Uses) > 0 {
-		h.heard = g.Uses
+	if len(g.Usages) > 0 {
+		h.receivedUsages = g.Usages
 	}
 }
 
-var errCut = errors.New("no way there")
+var errCut = errors.New("host is unreachable")
 
-// ask carries a message there and its answer back. Nothing comes from or to a host that is cut off, not even an error.
+// ask carries a request and its answer. A host that is cut off gets and sends nothing, so calls to it end with their ctx.
 func (f *fleet) ask(ctx context.Context, from, to string, g gossip.Gossip) (gossip.Gossip, error) {
-	if !f.pass(ctx, from, to, g) {
+	if !f.deliver(ctx, from, to, g) {
 		return gossip.Gossip{}, errCut
 	}
 	f.mu.Lock()
@@ -135,13 +136,13 @@
 		return gossip.Gossip{}, errCut
 	}
 	answer := h.Answer(g)
-	if !f.pass(ctx, to, from, answer) {
+	if !f.deliver(ctx, to, from, answer) {
 		return gossip.Gossip{}, errCut
 	}
 	return answer, nil
 }
 
-func (f *fleet) pass(ctx context.Context, from, to string, g gossip.Gossip) bool {
+func (f *fleet) deliver(ctx context.Context, from, to string, g gossip.Gossip) bool {
 	data, err := msgpack.Marshal(g)
 	if err != nil {
 		f.t.Errorf("Marshal() = %v, want nil", err)
@@ -151,13 +152,13 @@
 	f.bytes += len(data)
 	f.pairs[[2]string{min(from, to), max(from, to)}] = true
 	f.answer[to]++
-	cut := f.cut[from] || f.cut[to] || f.halves && f.half(from) != f.half(to)
+	cut := f.cut[from] || f.cut[to] || f.partitioned && f.half(from) != f.half(to)
 	f.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 		return false
 	}
-	time.Sleep(way)
+	time.Sleep(latency)
 	return true
 }
 
@@ -169,10 +170,10 @@
 	}
 }
 
-func (f *fleet) setHalves(apart bool) {
+func (f *fleet) setPartitioned(apart bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.halves = apart
+	f.partitioned = apart
 }
 
 func (f *fleet) half(host string) bool {
@@ -184,39 +185,39 @@
 	return false
 }
 
-// count resets the counters and returns what they stood at.
-func (f *fleet) count() (sent, bytes, pairs, most int) {
+// count resets the counters and returns their values.
+func (f *fleet) count() (sent, bytes, pairs, busiest int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.answer {
-		most = max(most, n)
+		busiest = max(busiest, n)
 	}
 	sent, bytes, pairs = f.sent, f.bytes, len(f.pairs)
 	f.sent, f.bytes = 0, 0
 	clear(f.pairs)
 	clear(f.answer)
-	return sent, bytes, pairs, most
+	return sent, bytes, pairs, busiest
 }
 
-// sees returns how many of the hosts i is sure of, itself left out.
-func (f *fleet) sees(i int) int {
+// countAlive returns how many other hosts host i counts as alive.
+func (f *fleet) countAlive(i int) int {
 	n := 0
 	for other := range f.size {
-		if other != i && f.hosts[ip(i)].Live(ip(other)) {
+		if other != i && f.hosts[ip(i)].IsAlive(ip(other)) {
 			n++
 		}
 	}
 	return n
 }
 
-// wantSeen checks that each of the hosts named, or all, sees so many others.
-func (f *fleet) wantSeen(what string, want int, but map[int]bool) {
+// wantAlive checks that each host that isn't excluded counts so many others as alive.
+func (f *fleet) wantAlive(what string, want int, but map[int]bool) {
 	f.t.Helper()
 	for i := range f.size {
 		if but[i] {
 			continue
 		}
-		if got := f.sees(i); got != want {
+		if got := f.countAlive(i); got != want {
 			f.t.Errorf("%s: host %d sees %d others, want %d", what, i, got, want)
 			return
 		}
--- a/internal/mates/live.go
+++ b/internal/mates/live.go
@@ -7,73 +7,73 @@
 	"damaskreach/internal/status"
 )
 
-// Live reports whether a host is alive.
-func (m *Mates) Live(ip string) bool {
+// IsAlive reports whether a host is alive.
+func (m *Mates) IsAlive(ip string) bool {
 	_, live := m.Roster.Find(ip, time.Now())
 	return live
 }
 
-// Oldest returns the age of the oldest word of a relay that counts.
-func (m *Mates) Oldest() time.Duration {
-	return m.Roster.Oldest(time.Now())
+// MaxRelayAge returns the age of the oldest report among the relays that count.
+func (m *Mates) MaxRelayAge() time.Duration {
+	return m.Roster.MaxRelayAge(time.Now())
 }
 
-// Ordering reports whether a host is alive and may give orders.
-func (m *Mates) Ordering(ip string) bool {
+// CanOwn reports whether a host is alive and holds its lease, so that it may own engines.
+func (m *Mates) CanOwn(ip string) bool {
 	b, live := m.Roster.Find(ip, time.Now())
 	return live && !b.LeaseLapsed
 }
 
-// Away reports whether a host says that the store does not answer it.
-func (m *Mates) Away(ip string) bool {
+// StoreDown reports whether an alive host reports that it can't reach the store.
+func (m *Mates) StoreDown(ip string) bool {
 	b, live := m.Roster.Find(ip, time.Now())
 	return live && b.StoreDown
 }
 
-// Serving returns the hosts, but for this one, that callers may be sent to. The map must not be changed.
+// Serving returns the other hosts that callers may be sent to. The map must not be changed.
 func (m *Mates) Serving() map[string]mate.Mate {
 	return *m.serving.Load()
 }
 
-// Reaching returns those of the hosts that callers may be sent to which reach upstreams. The map must not be changed.
-func (m *Mates) Reaching() map[string]mate.Mate {
-	return *m.reaching.Load()
+// Connected returns those of the serving hosts that reach upstreams. The map must not be changed.
+func (m *Mates) Connected() map[string]mate.Mate {
+	return *m.connected.Load()
 }
 
-// Ahead returns those of the hosts that callers may be sent to which come before this one. The list must not be changed.
-func (m *Mates) Ahead() []mate.Mate {
-	return *m.ahead.Load()
+// HigherRanked returns those of the serving hosts that rank before this one. The list must not be changed.
+func (m *Mates) HigherRanked() []mate.Mate {
+	return *m.higherRanked.Load()
 }
 
-// Living returns the hosts, but for this one, that are alive, also those that leave. The map must not be changed.
-func (m *Mates) Living() map[string]mate.Mate {
-	return *m.living.Load()
+// Alive returns the other hosts that are alive, draining ones included. The map must not be changed.
+func (m *Mates) Alive() map[string]mate.Mate {
+	return *m.alive.Load()
 }
 
-// serve notes which hosts are alive, this one among them, and which others callers may be sent to.
-func (m *Mates) serve(hosts map[string]mate.Mate, alive map[string]status.Status) {
-	serving, living := make(map[string]mate.Mate, len(hosts)), make(map[string]mate.Mate, len(hosts))
-	reaching := make(map[string]mate.Mate, len(hosts))
-	var ahead []mate.Mate
+// updateLists updates the lists of other hosts that are alive and of those that callers may be sent to.
+func (m *Mates) updateLists(hosts map[string]mate.Mate, statuses map[string]status.Status) {
+	serving, alive := make(map[string]mate.Mate, len(hosts)), make(map[string]mate.Mate, len(hosts))
+	connected := make(map[string]mate.Mate, len(hosts))
+	var higherRanked []mate.Mate
 	for ip, h := range hosts {
-		b, live := alive[ip]
+		b, live := statuses[ip]
 		if ip == m.Self.IP || !live {
 			continue
 		}
-		living[ip] = h
+		alive[ip] = h
 		if b.Leaving {
 			continue
 		}
 		serving[ip] = h
 		if !b.Isolated {
-			reaching[ip] = h
+			connected[ip] = h
 		}
 		if h.Before(m.Self) {
-			ahead = append(ahead, h)
+			higherRanked = append(higherRanked, h)
 		}
 	}
-	m.ahead.Store(&ahead)
+	m.higherRanked.Store(&higherRanked)
 	m.serving.Store(&serving)
-	m.reaching.Store(&reaching)
-	m.living.Store(&living)
+	m.connected.Store(&connected)
+	m.alive.Store(&alive)
 }
--- a/internal/mates/partners.go
+++ b/internal/mates/partners.go
@@ -10,14 +10,14 @@
 	"damaskreach/internal/status"
 )
 
-// Partners returns the hosts that this one tells and hears, and whether it speaks for others.
+// Partners returns the hosts that this one exchanges messages with, and whether it is a relay.
 func (m *Mates) Partners() (relay bool, list []mate.Mate) {
 	now := time.Now()
-	return m.partners(m.Hosts(), m.Roster.Living(now), now, true)
+	return m.partners(m.Hosts(), m.Roster.Alive(now), now, true)
 }
 
-// partners returns the hosts to tell now, and whether to tell them as a relay. Other relays that ask this one are left out, but where all are
-// to know something at once.
+// partners returns the hosts to send requests to now, and whether to send them as a relay. Other relays that already send requests
+// to this one are left out unless all is set, for news that can't wait.
 func (m *Mates) partners(
 	hosts map[string]mate.Mate, living map[string]status.Status, now time.Time, all bool,
 ) (relay bool, list []mate.Mate) {
@@ -27,74 +27,74 @@
 	var lost []mate.Mate
 	for ip, h := range hosts {
 		switch {
-		case ip == m.Self.IP || m.resting(ip, now):
+		case ip == m.Self.IP || m.inBackoff(ip, now):
 		case m.usable(ip, living, now):
-			centres[h.Centre] = withFirst(centres[h.Centre], h)
+			centres[h.Centre] = insertRelay(centres[h.Centre], h)
 		default:
 			lost = append(lost, h)
 		}
 	}
 	own := centres[m.Self.Centre]
-	relay = now.Sub(m.member) < m.rhythm.Silent() || slices.Contains(own, m.Self)
+	relay = now.Sub(m.lastMember) < m.rhythm.Silent() || slices.Contains(own, m.Self)
 	if !relay {
-		return false, own[m.half(len(own)):][:1]
+		return false, own[m.relayIndex(len(own)):][:1]
 	}
 	for _, relays := range centres {
 		for _, h := range relays {
-			if h.IP != m.Self.IP && (all || !m.asks(h.IP, now)) {
+			if h.IP != m.Self.IP && (all || !m.isAskedBy(h.IP, now)) {
 				list = append(list, h)
 			}
 		}
 	}
 	if len(lost) > 0 {
-		// Two parts of a site that were cut apart each take the other for lost, and neither would ask again. It is asked beside
-		// those that answer and in place of none, so that a host that is down holds up nobody.
-		list = append(list, slices.MinFunc(lost, order))
+		// After a network partition, each side takes the other for lost and neither would send to it again. One lost host is
+		// tried in addition to the live ones, so that a host that is down delays nobody.
+		list = append(list, slices.MinFunc(lost, compareRank))
 	}
 	return true, list
 }
 
-// withFirst adds a host to the first ones of a data centre, in their order, and drops one that is none of them any more.
-func withFirst(first []mate.Mate, h mate.Mate) []mate.Mate {
-	if len(first) == rhythm.Relays && !h.Before(first[len(first)-1]) {
-		return first
+// insertRelay inserts a host into the relays of a data centre by rank, and drops the lowest if there are too many.
+func insertRelay(relays []mate.Mate, h mate.Mate) []mate.Mate {
+	if len(relays) == rhythm.Relays && !h.Before(relays[len(relays)-1]) {
+		return relays
 	}
-	at, _ := slices.BinarySearchFunc(first, h, order)
-	first = slices.Insert(first, at, h)
-	return first[:min(rhythm.Relays, len(first))]
+	index, _ := slices.BinarySearchFunc(relays, h, compareRank)
+	relays = slices.Insert(relays, index, h)
+	return relays[:min(rhythm.Relays, len(relays))]
 }
 
-func order(a, b mate.Mate) int {
+func compareRank(a, b mate.Mate) int {
 	if a.Before(b) {
 		return -1
 	}
 	return 1
 }
 
-// usable reports whether a host may be relied on as a relay: one that has answered, or that another one hears, or of which nobody
-// knows anything yet.
+// usable reports whether a host may be relied on as a relay: it is alive by some report, or its last call didn't fail and it
+// isn't known to be lost.
 func (m *Mates) usable(ip string, living map[string]status.Status, now time.Time) bool {
 	if _, live := living[ip]; live {
 		return true
 	}
-	return m.calls[ip].fails == 0 && !m.Roster.Gone(ip, now)
+	return m.calls[ip].failures == 0 && !m.Roster.Gone(ip, now)
 }
 
-// resting reports whether a host is not asked at present, since it gave no answer.
-func (m *Mates) resting(ip string, now time.Time) bool {
+// inBackoff reports whether no request is sent to a host at present, since it didn't answer.
+func (m *Mates) inBackoff(ip string, now time.Time) bool {
 	c := m.calls[ip]
-	return now.Before(c.until) || !c.since.IsZero() && now.Sub(c.since) > m.rhythm.Patience()
+	return now.Before(c.backoffUntil) || !c.startedAt.IsZero() && now.Sub(c.startedAt) > m.rhythm.Patience()
 }
 
-// half spreads hosts over so many relays.
-func (m *Mates) half(relays int) int {
+// relayIndex spreads hosts evenly over the relays.
+func (m *Mates) relayIndex(relays int) int {
 	sum := fnv.New32a()
 	sum.Write([]byte(m.Self.IP))
 	return int(sum.Sum32()>>8) % relays
 }
 
-// asks reports whether another relay asks this one at present, which tells both as much as the other way would. Where both have
-// begun to, the one with the lower address goes on.
-func (m *Mates) asks(ip string, now time.Time) bool {
-	return ip < m.Self.IP && now.Sub(m.relayed[ip]) < m.rhythm.Every()*3/2
+// isAskedBy reports whether another relay sends requests to this one at present, which informs both just as well. If both
+// have begun to, the one with the lower address goes on.
+func (m *Mates) isAskedBy(ip string, now time.Time) bool {
+	return ip < m.Self.IP && now.Sub(m.lastRelay[ip]) < m.rhythm.Every()*3/2
 }
--- a/internal/relay/part.go
+++ b/internal/relay/frame.go
@@ -6,13 +6,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// part is one message of an answer: first its head, then its pieces, then the mark of its end. Only the mark makes the
-// answer whole. The end of the stream alone does not: where a node's connection is closed under an answer, the stream
-// ends as well, and half of the answer would pass for all of it.
+// frame is one message of an answer: its head, then its pieces, then the end mark. Only the end mark makes the answer whole:
+// the stream also ends when a node's connection closes during an answer, and half an answer would pass for all of it.
 //
-// There is one for each token, so it is encoded as an array without names and by hand: the reflection of msgpack
-// allocates for each struct.
-type part struct {
+// There is a frame for each token, so it is encoded by hand as an array without names: msgpack's reflection allocates for
+// each struct.
+type frame struct {
 	token  int
 	piece  []byte
 	status int
@@ -20,8 +19,7 @@
 	whole  bool
 }
 
-// The order of the fields in a head; a piece has only the first two. New fields go to the end, where older nodes
-// ignore them.
+// The order of the fields in a head; a piece has only the first two. New fields are appended, since older nodes ignore them there.
 const (
 	fieldToken = iota
 	fieldPiece
@@ -37,7 +35,7 @@
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (p *part) EncodeMsgpack(e *msgpack.Encoder) error {
+func (p *frame) EncodeMsgpack(e *msgpack.Encoder) error {
 	size := p.size()
 	err := errors.Join(e.EncodeArrayLen(size), e.EncodeInt(int64(p.token)), e.EncodeBytes(p.piece))
 	if err != nil || size == sizePiece {
@@ -50,7 +48,7 @@
 	return e.EncodeBool(p.whole)
 }
 
-func (p *part) size() int {
+func (p *frame) size() int {
 	switch {
 	case p.whole:
 		return sizeEnd
@@ -60,9 +58,9 @@
 	return sizePiece
 }
 
-// DecodeMsgpack implements msgpack.CustomDecoder. It writes the piece over the one that p has.
-func (p *part) DecodeMsgpack(d *msgpack.Decoder) error {
-	*p = part{piece: p.piece[:0]}
+// DecodeMsgpack implements msgpack.CustomDecoder. It reuses the memory of the piece in p.
+func (p *frame) DecodeMsgpack(d *msgpack.Decoder) error {
+	*p = frame{piece: p.piece[:0]}
 	size, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -75,7 +73,7 @@
 	return nil
 }
 
-func (p *part) decode(d *msgpack.Decoder, field int) error {
+func (p *frame) decode(d *msgpack.Decoder, field int) error {
 	switch field {
 	case fieldToken:
 		return d.Decode(&p.token)
@@ -92,8 +90,8 @@
 	}
 }
 
-// pass hands the part on.
-func (p *part) pass(head func(status int, kind string) error, emit func(token int, piece []byte) error) error {
+// pass hands the frame to head or emit.
+func (p *frame) pass(head func(status int, kind string) error, emit func(token int, piece []byte) error) error {
 	if p.status != 0 {
 		return head(p.status, p.kind)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay carries a call from its entry node to the owner of its runner and the answer back.
+// Package relay carries a call from its entry node to the owner of its runner, and the answer back.
 package relay
 
 import (
@@ -14,14 +14,16 @@
 
 const methodRun = "run"
 
-// Relay is a node's way to run calls on its own and other nodes' runners.
-// The fields are set before Register and not changed afterwards.
+// Relay runs calls on the runners of its own node and of other nodes. Its fields are set before Register.
 type Relay struct {
 	Mesh *peer.Mesh
 	// Self returns this node's session id.
 	Self func() string
 	// Local runs a call on a runner this node owns. A piece is valid until emit returns.
-	Local func(ctx context.Context, runner string, fence int64, c call.Call, head func(status int, kind string) error, emit func(token int, piece []byte) error) error
+	Local func(
+		ctx context.Context, runner string, fence int64, c call.Call,
+		head func(status int, kind string) error, emit func(token int, piece []byte) error,
+	) error
 }
 
 type runAsk struct {
@@ -40,25 +42,28 @@
 	if err := s.Recv(ctx, &q); err != nil {
 		return err
 	}
-	var p part // one for the whole answer, as Send needs it on the heap
+	var p frame // reused for the whole answer, since Send needs it on the heap
 	head := func(status int, kind string) error {
-		p = part{status: status, kind: kind}
+		p = frame{status: status, kind: kind}
 		return s.Send(ctx, &p)
 	}
 	emit := func(token int, piece []byte) error {
-		p = part{token: token, piece: piece}
+		p = frame{token: token, piece: piece}
 		return s.Send(ctx, &p)
 	}
 	if err := r.Local(ctx, q.Runner, q.Fence, q.Call, head, emit); err != nil {
 		return err
 	}
-	p = part{whole: true}
+	p = frame{whole: true}
 	return s.Send(ctx, &p)
 }
 
 // Run sends a call to the owner named in d and passes the answer on. It returns nil only for a whole answer.
-// Parts arrive on the stream of this one attempt, so a late part of an abandoned attempt reaches nobody.
-func (r *Relay) Run(ctx context.Context, d digest.Digest, c call.Call, head func(status int, kind string) error, emit func(token int, piece []byte) error) error {
+// Each attempt has a stream of its own, so late frames of an abandoned attempt are dropped.
+func (r *Relay) Run(
+	ctx context.Context, d digest.Digest, c call.Call,
+	head func(status int, kind string) error, emit func(token int, piece []byte) error,
+) error {
 	if d.Owner == r.Self() {
 		return r.Local(ctx, d.Runner, d.Fence, c, head, emit)
 	}
@@ -71,8 +76,11 @@
 	return receive(ctx, s, head, emit)
 }
 
-func receive(ctx context.Context, s *strm.Stream, head func(status int, kind string) error, emit func(token int, piece []byte) error) error {
-	var p part // each piece is written over the last one, which emit has passed on
+func receive(
+	ctx context.Context, s *strm.Stream,
+	head func(status int, kind string) error, emit func(token int, piece []byte) error,
+) error {
+	var p frame // each piece overwrites the previous one, which emit has passed on
 	for {
 		err := s.Recv(ctx, &p)
 		if err != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 	addrB = hostB + ":1"
 )
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	kind   string
@@ -54,7 +54,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.NewNet(1)
 		a, b := newRelay(n, hostA), newRelay(n, hostB)
-		b.Local = func(_ context.Context, runner string, fence int64, c call.Call, head func(int, string) error, emit func(int, []byte) error) error {
+		b.Local = func(
+			_ context.Context, runner string, fence int64, c call.Call,
+			head func(int, string) error, emit func(int, []byte) error,
+		) error {
 			if runner != "r" || fence != 7 || string(c.Body) != "question" {
 				t.Errorf("Local: got %q, %d, %q", runner, fence, c.Body)
 			}
@@ -79,8 +82,8 @@
 	return got, err
 }
 
-// Pieces of all lengths follow each other, and both sides write each over the last. None may show bytes of another.
-func TestAnswerArrivesAsItWasGiven(t *testing.T) {
+// Both sides reuse the memory of pieces of any length. None may show bytes of another.
+func TestAnswerArrivesUnchanged(t *testing.T) {
 	var want answer
 	want.head(200, "text/event-stream")
 	for i := range 300 {
@@ -107,8 +110,8 @@
 	}
 }
 
-// The owner fails after half an answer. The caller's node must hear why and whether it ran, after the half that came.
-func TestFailedAnswerKeepsItsVerdict(t *testing.T) {
+// The owner fails after half an answer. The caller's node must get the reason and whether the call ran, after that half.
+func TestFailedAnswerKeepsVerdict(t *testing.T) {
 	got, err := run(t, func(head func(int, string) error, emit func(int, []byte) error) error {
 		_ = head(200, "text/plain")
 		_ = emit(1, []byte("half"))
--- a/internal/rising/rising.go
+++ b/internal/rising/rising.go
@@ -1,9 +1,9 @@
-// Package rising holds a number that only rises, such as the newest revision that was heard of.
+// Package rising holds a number that only increases, such as the latest known revision.
 package rising
 
 import "sync/atomic"
 
-// Rising may be used from several goroutines. The zero value is 0.
+// Rising is safe for concurrent use. The zero value is 0.
 type Rising struct {
 	number atomic.Int64
 }
@@ -13,7 +13,7 @@
 	return r.number.Load()
 }
 
-// Raise makes the number at least as high as another one, and returns what it was before.
+// Raise sets the number to the given one if that is higher, and returns the previous number.
 func (r *Rising) Raise(to int64) (before int64) {
 	for {
 		before = r.number.Load()
--- a/internal/roster/many_test.go
+++ b/internal/roster/bench_test.go
@@ -21,21 +21,21 @@
 				owners[fmt.Sprint("e", n)] = name(n)
 			}
 			relay := roster.NewRoster("relay", func(engine string) string { return owners[engine] })
-			relay.Note(status.Status{}, nil, nil, start)
+			relay.Report(status.Status{}, nil, nil, start)
 			for h := range hosts {
 				one := roster.NewRoster(name(h), hostOf)
 				var uses []usage.Usage
 				for n := range used {
 					uses = append(uses, usage.Usage{Host: name(h), Engine: fmt.Sprint("e", (h*7+n*31)%engines), Running: 1})
 				}
-				one.Note(status.Status{}, uses, nil, start)
-				relay.Hear(one.Ask("relay", false, start), start)
+				one.Report(status.Status{}, uses, nil, start)
+				relay.Update(one.Request("relay", false, start), start)
 			}
 			member := roster.NewRoster(name(0), hostOf)
 			for range 3 {
-				speak(member, relay, name(0), "relay", false, start)
+				exchange(member, relay, name(0), "relay", false, start)
 			}
-			question := member.Ask("relay", false, start)
+			question := member.Request("relay", false, start)
 			b.ReportAllocs()
 			for b.Loop() {
 				relay.Answer(question, start)
@@ -44,36 +44,36 @@
 	}
 }
 
-// wide returns the roster of a relay that hears a part of a site's hosts itself, and the others from five more relays.
-func wide(hosts int) *roster.Roster {
+// newSiteRelay returns the roster of a relay that has some of a site's hosts in its own group and the others from five more relays.
+func newSiteRelay(hosts int) *roster.Roster {
 	const relays = 6
 	relay := roster.NewRoster("relay0", hostOf)
-	relay.Note(status.Status{}, nil, nil, start)
+	relay.Report(status.Status{}, nil, nil, start)
 	for r := range relays {
 		other := roster.NewRoster(fmt.Sprint("relay", r), hostOf)
-		other.Note(status.Status{}, nil, nil, start)
+		other.Report(status.Status{}, nil, nil, start)
 		for h := r; h < hosts; h += relays {
 			one := roster.NewRoster(fmt.Sprint("h", h), hostOf)
-			one.Note(status.Status{Requests: map[string]int{fmt.Sprint("e", h): 3}}, nil, nil, start)
-			heard := other
+			one.Report(status.Status{Requests: map[string]int{fmt.Sprint("e", h): 3}}, nil, nil, start)
+			target := other
 			if r == 0 {
-				heard = relay
+				target = relay
 			}
-			heard.Hear(one.Ask(fmt.Sprint("relay", r), false, start), start)
+			target.Update(one.Request(fmt.Sprint("relay", r), false, start), start)
 		}
 		if r > 0 {
-			relay.Hear(other.Ask("relay0", true, start), start)
+			relay.Update(other.Request("relay0", true, start), start)
 		}
 	}
 	return relay
 }
 
-// A relay tells a host of all others, where something changed at each of them.
+// A relay answers with all hosts, since each of them changed.
 func BenchmarkAnswerWhereAllChanged(b *testing.B) {
 	for _, hosts := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			relay := wide(hosts)
-			question := roster.NewRoster("new", hostOf).Ask("relay0", false, start)
+			relay := newSiteRelay(hosts)
+			question := roster.NewRoster("new", hostOf).Request("relay0", false, start)
 			for b.Loop() {
 				relay.Answer(question, start)
 			}
@@ -81,13 +81,13 @@
 	}
 }
 
-// A host looks several times a second who is alive.
+// A host checks liveness several times a second.
 func BenchmarkLook(b *testing.B) {
 	for _, hosts := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			relay := wide(hosts)
+			relay := newSiteRelay(hosts)
 			for b.Loop() {
-				relay.Look(time.Second, start)
+				relay.CheckLiveness(time.Second, start)
 			}
 		})
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,15 +1,15 @@
-// Package roster keeps what a host knows of the others, and works out what each of them has not heard yet.
+// Package roster keeps what a host knows of the others and works out which changes each of them has yet to receive.
 //
-// Were each host to tell every other one, messages and connections of a site would grow with the square of its hosts. So some hosts
-// of each data centre are relays: a host tells one of them of itself, and hears from it of all others; relays tell each other of
-// the hosts that they hear themselves. What a host sends and keeps open does not grow with the number of hosts but for the
-// relays, whose work grows with the hosts of one data centre.
+// If every host reported to every other one, the messages and connections of a site would grow with the square of its hosts. Instead,
+// some hosts of each data centre are relays: a host reports to one relay and receives the state of all others from it; relays exchange
+// the hosts of their groups, those that report to them directly. What a host sends and keeps open doesn't grow with the number of
+// hosts, except at relays, whose work grows with the hosts of one data centre.
 //
-// A host counts as alive while some relay hears it that is heard itself. Where a relay dies, its hosts go to another one before
-// the others give up what the dead one said of them.
+// A host counts as alive while a relay with a fresh report has heard it. When a relay dies, its hosts move to another one before
+// the others drop the dead relay's reports.
 //
-// Each roster numbers its changes. A message tells the changes since the newest number that its receiver is known to have seen,
-// so that one that got lost is made up for by the next.
+// Each roster numbers its changes. A message carries the changes since the last number that its receiver acknowledged, so the next
+// message makes up for a lost one.
 package roster
 
 import (
@@ -23,108 +23,109 @@
 )
 
 const (
-	// mostBroke is how many breaks are kept for those that have not heard of them, some 60 bytes each.
-	mostBroke = 2000
-	// forget is how long after its last message a host is kept. A host that comes back is told of as if it were new.
-	forget = time.Minute
-	// remember is how long it stays known that a host of which nobody speaks is lost: longer than others keep what this host told them.
-	remember = 2 * forget
+	// maxBreaks is how many broken requests are kept for hosts that have yet to receive them, some 60 bytes each.
+	maxBreaks = 2000
+	// hostRetention is how long a host is kept after its last message. A host that returns later is reported as new.
+	hostRetention = time.Minute
+	// lossRetention is how long the loss of an unreported host is remembered: longer than others keep what this host sent of it.
+	lossRetention = 2 * hostRetention
 )
 
-// Roster may be used from several goroutines.
+// Roster is safe for concurrent use.
 type Roster struct {
-	// Owner returns the host that gives an engine its orders.
-	owner func(engine string) string
-	self  string
-	start string
-
-	mu      sync.Mutex
-	number  int64 // of the newest change
-	silent  time.Duration
-	own     status.Status
-	realms  map[string]*realm // by the host that speaks for them; this host's own under its IP
-	changed map[string]int64  // number of the newest change of each host
-	alive   map[string]bool   // as of the last look
-	words   map[string]word   // newest of each host
-	held    map[string]stocked
-	broke   []broken
-	uses    map[string]using // by host
-	peers   map[string]*peer
+	// owner returns the host that owns an engine.
+	owner       func(engine string) string
+	self        string
+	incarnation string
+
+	mu             sync.Mutex
+	sequence       int64 // of the newest change
+	silenceTimeout time.Duration
+	ownStatus      status.Status
+	groups         map[string]*group     // by relay; this host's own under its IP
+	changed        map[string]int64      // sequence of the latest change of each host
+	alive          map[string]bool       // as of the last liveness check
+	lastReports    map[string]lastReport // by host
+	stocks         map[string]stockEntry
+	breaks         []breakEntry
+	usages         map[string]hostUsage // by host
+	peers          map[string]*peer
 }
 
-// word is the newest that any host said of one. It outlasts the realms that spoke of it, for those that were told so and have yet to hear that
-// the host is lost.
-type word struct {
-	beat int64
-	at   time.Time // when a realm last spoke of the host, or ceased to
+// lastReport is the latest report of a host by any relay. It outlives the groups that held the host, for receivers that know the
+// host and have yet to learn of its loss.
+type lastReport struct {
+	version    int64
+	reportedAt time.Time // when a group last reported the host, or stopped to
 }
 
-// realm is the hosts that one host speaks for.
-type realm struct {
-	at    time.Time // when it was last heard
-	hosts map[string]status.Status
-	heard map[string]time.Time // when each was last heard; in another realm when anything was told of it
-	gone  map[string]bool      // in this host's own realm: those that were not heard for too long
+// group is the hosts that one relay reports.
+type group struct {
+	reportedAt time.Time // when the relay was last heard
+	hosts      map[string]status.Status
+	heardAt    map[string]time.Time // when each was last heard; in another relay's group, last reported
+	silent     map[string]bool      // hosts of this host's own group that timed out
 }
 
-type stocked struct {
+type stockEntry struct {
 	stock.Stock
-	number int64
-	own    bool // told by a host of this host's own realm
+	sequence int64
+	local    bool // from this host's own group
 }
 
-type broken struct {
-	text   string
-	number int64
-	own    bool
+type breakEntry struct {
+	text     string
+	sequence int64
+	local    bool
 }
 
-// using is what one host has at engines.
-type using struct {
-	list []usage.Usage
-	at   time.Time // when it was heard
-	own  bool
+// hostUsage is one host's use of engines.
+type hostUsage struct {
+	usages  []usage.Usage
+	heardAt time.Time
+	local   bool
 
-	owners   map[string][]usage.Usage // list by who gives the engines their orders; nil until it is asked for
-	ownersAt time.Time                // as of when
+	byOwner   map[string][]usage.Usage // usages by the owner of their engine; nil until needed
+	groupedAt time.Time                // when byOwner was built
 }
 
-// peer is what was said between this host and another one.
+// peer is the state of the exchange with another host.
 type peer struct {
-	start string // of the other's numbers
-	seen  int64  // newest of its changes that this host has seen
-	of    string // start of this host's numbers that it has seen
-	acked int64  // newest of them
+	incarnation      string // of the peer
+	seenSequence     int64  // latest of the peer's changes that this host has seen
+	ackedIncarnation string // incarnation of this host that the peer acknowledged
+	ackedSequence    int64  // latest of this host's changes that the peer acknowledged
 }
 
-// scope is what a message tells of. Each has numbers of its own for its receiver: a change that was left out of one message
-// must not count as seen for the next.
+// scope selects what a message covers. Each scope acknowledges changes on its own: a change left out of one message must not
+// count as seen for the next.
 type scope string
 
 const (
-	itself scope = "host"
-	realms scope = "realm" // of the sender
-	all    scope = "site"
+	scopeSelf  scope = "host"
+	scopeGroup scope = "realm" // the sender's group
+	scopeAll   scope = "site"
 )
 
-// NewRoster returns the roster of a host that knows of no other. Owner returns the host that gives an engine its orders.
+// NewRoster returns the roster of a host that knows of no other. The function owner returns the host that owns an engine.
 func NewRoster(self string, owner func(engine string) string) *Roster {
 	return &Roster{
-		owner: owner, self: self, start: rand.Text(), silent: time.Second, own: status.Status{IP: self},
-		realms:  map[string]*realm{self: newRealm()},
-		changed: map[string]int64{}, alive: map[string]bool{}, words: map[string]word{}, held: map[string]stocked{}, uses: map[string]using{},
+		owner: owner, self: self, incarnation: rand.Text(), silenceTimeout: time.Second, ownStatus: status.Status{IP: self},
+		groups:  map[string]*group{self: newGroup()},
+		changed: map[string]int64{}, alive: map[string]bool{}, lastReports: map[string]lastReport{},
+		stocks: map[string]stockEntry{}, usages: map[string]hostUsage{},
 		peers: map[string]*peer{},
 	}
 }
 
-func newRealm() *realm {
-	return &realm{hosts: map[string]status.Status{}, heard: map[string]time.Time{}, gone: map[string]bool{}}
+func newGroup() *group {
+	return &group{hosts: map[string]status.Status{}, heardAt: map[string]time.Time{}, silent: map[string]bool{}}
 }
 
-// next numbers a change. It needs the lock, as do all that follow.
+// next numbers a change. The caller must hold r.mu, also for all methods below.
 func (r *Roster) next() int64 {
-	r.number++
-	return r.number
+	r.sequence++
+	return r.sequence
 }
 
 func (r *Roster) peer(ip string) *peer {
@@ -136,33 +137,33 @@
 	return p
 }
 
-// spoke notes that a realm speaks of a host, or ceases to.
-func (r *Roster) spoke(ip string, beat int64, now time.Time) {
-	r.words[ip] = word{beat: max(beat, r.words[ip].beat), at: now}
+// recordReport records that a group reports a host, or stops to.
+func (r *Roster) recordReport(ip string, beat int64, now time.Time) {
+	r.lastReports[ip] = lastReport{version: max(beat, r.lastReports[ip].version), reportedAt: now}
 }
 
-// fresh reports whether what a host says of those that it speaks for counts.
-func (r *Roster) fresh(ip string, now time.Time) bool {
-	m, ok := r.realms[ip]
-	return ok && (ip == r.self || now.Sub(m.at) < r.silent)
+// isFresh reports whether a relay was heard recently enough for its group to count.
+func (r *Roster) isFresh(ip string, now time.Time) bool {
+	m, ok := r.groups[ip]
+	return ok && (ip == r.self || now.Sub(m.reportedAt) < r.silenceTimeout)
 }
 
-// counting returns the realms of the hosts whose word counts.
-func (r *Roster) counting(now time.Time) []*realm {
-	list := make([]*realm, 0, len(r.realms))
-	for relay, m := range r.realms {
-		if r.fresh(relay, now) {
+// freshGroups returns the groups of the relays heard recently.
+func (r *Roster) freshGroups(now time.Time) []*group {
+	list := make([]*group, 0, len(r.groups))
+	for relay, m := range r.groups {
+		if r.isFresh(relay, now) {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// find returns the newest that some realms tell of a host, and whether it is alive.
-func find(among []*realm, ip string) (best status.Status, ok bool) {
+// findNewest returns the latest status of a host among some groups, and whether it is alive.
+func findNewest(among []*group, ip string) (best status.Status, ok bool) {
 	for _, m := range among {
 		b, here := m.hosts[ip]
-		if !here || b.Gone || m.gone[ip] || ok && b.Version <= best.Version {
+		if !here || b.Gone || m.silent[ip] || ok && b.Version <= best.Version {
 			continue
 		}
 		best, ok = b, true
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -44,7 +44,7 @@
 
 // Mate returns what other hosts are told of this one.
 func (s Setup) Mate() mate.Mate {
-	return mate.Mate{IP: s.IP, Peers: s.Peers, Callers: s.Callers, Centre: s.Centre, Power: s.Cores}
+	return mate.Mate{IP: s.IP, PeerAddr: s.Peers, CallerAddr: s.Callers, Centre: s.Centre, Cores: s.Cores}
 }
 
 // Load reads and checks the settings in a file. The error lists every fault with its key.
--- a/internal/tenure/row.go
+++ b/internal/tenure/row.go
@@ -37,7 +37,7 @@
 
 // mate returns what other hosts need to know of the host.
 func (s session) mate() mate.Mate {
-	return mate.Mate{IP: s.IP, Peers: s.PeerAddr, Callers: s.CallerAddr, Centre: s.Centre, Power: s.Cores}
+	return mate.Mate{IP: s.IP, PeerAddr: s.PeerAddr, CallerAddr: s.CallerAddr, Centre: s.Centre, Cores: s.Cores}
 }
 
 // withRates returns a copy with other measurements.
