--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	idleConns   = 256 // kept per upstream
-	idleTime    = 30 * time.Second
-	dialTime    = 3 * time.Second // a host that is gone answers no dial at all; within a site one takes about a millisecond
-	headerLimit = 64 << 10        // bytes of an answer's headers
-	drainLimit  = 4 << 10         // bytes read after the end of an answer
-	drainTime   = 50 * time.Millisecond
-	agent       = "damaskreach"
+	maxIdleConns   = 256 // idle connections kept per upstream
+	idleTimeout    = 30 * time.Second
+	dialTimeout    = 3 * time.Second // a dial within a data centre takes about 1 ms; one to a dead host gets no reply
+	maxHeaderBytes = 64 << 10        // bytes of an answer's headers
+	maxDrainBytes  = 4 << 10         // bytes read after the end of an answer
+	drainTimeout   = 50 * time.Millisecond
+	userAgent      = "damaskreach"
 )
 
 // client sends requests to one upstream, each of them at most once.
 //
-// http.Transport sends a request again on its own when a reused connection breaks before an answer, if the
-// request has a method such as GET or an Idempotency-Key header, and a body that it can replay. A booking
-// would run twice and nobody would be told; only the upstream's records would show it. Two things prevent it:
-// every request with a body hides it in a reader that cannot be rewound, and a request that is not to be
-// repeated, or has no body to hide, goes over a connection of its own, where the transport never repeats.
-// Requests also go to the transport itself and not through an http.Client, which would follow redirects.
+// http.Transport retries a request when a reused connection breaks before the answer, if the method is
+// idempotent (such as GET) or an Idempotency-Key header is set, and if the body can be replayed. A booking
+// would then run twice, visible only in the upstream's records. Two measures prevent such retries: request
+// bodies are readers that cannot be rewound, and a request that must run at most once, or has no body, gets
+// a new connection, on which the transport never retries.
+// Requests bypass http.Client, which would follow redirects.
 type client struct {
-	addr   string
-	pooled *http.Transport
-	fresh  *http.Transport
+	addr     string
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 func newClient(addr string, dial func(ctx context.Context, addr string) (net.Conn, error)) *client {
 	pooled := &http.Transport{
-		DialContext:            opener(addr, dial),
+		DialContext:            newDialFunc(addr, dial),
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idleConns,
-		IdleConnTimeout:        idleTime,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxIdleConnsPerHost:    maxIdleConns,
+		IdleConnTimeout:        idleTimeout,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	fresh := pooled.Clone()
-	fresh.DisableKeepAlives = true
-	return &client{addr: addr, pooled: pooled, fresh: fresh}
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
+	return &client{addr: addr, pooled: pooled, unpooled: unpooled}
 }
 
 func (c *client) close() {
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// body is a request body that cannot be read a second time.
-type body struct {
+// onceBody is a request body that cannot be read a second time.
+type onceBody struct {
 	src bytes.Reader
 }
 
@@ -69,38 +69,38 @@
 	if len(content) == 0 {
 		return http.NoBody
 	}
-	b := &body{}
+	b := &onceBody{}
 	b.src.Reset(content)
 	return b
 }
 
-// Read reads on in the body.
-func (b *body) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (b *onceBody) Read(p []byte) (int, error) {
 	return b.src.Read(p)
 }
 
-// Close does nothing; the content is memory.
-func (b *body) Close() error {
+// Close does nothing, because the content is in memory.
+func (b *onceBody) Close() error {
 	return nil
 }
 
-// transport returns the one for a call with a body of size bytes.
+// transport returns the transport for a call with a body of size bytes; once is set if the call must run at most once.
 func (c *client) transport(once bool, size int) *http.Transport {
 	if once || size == 0 {
-		return c.fresh
+		return c.unpooled
 	}
 	return c.pooled
 }
 
-// send sends req once by the transport and returns the head of its answer. Its errors carry the verdict.
-func (c *client) send(ctx context.Context, by *http.Transport, req *http.Request) (*http.Response, error) {
-	var used *wire
+// send sends req once over transport and returns the answer with its body unread. Its errors carry a verdict.
+func (c *client) send(ctx context.Context, transport *http.Transport, req *http.Request) (*http.Response, error) {
+	var used *trackedConn
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		used = info.Conn.(*wire)
+		used = info.Conn.(*trackedConn)
 		used.reset()
 	}}
 	req = req.WithContext(withCall(httptrace.WithClientTrace(ctx, trace)))
-	res, err := by.RoundTrip(req)
+	res, err := transport.RoundTrip(req)
 	if err == nil {
 		return res, nil
 	}
@@ -108,23 +108,23 @@
 	if used != nil && used.seal() {
 		verdict = verd.MayHaveRun
 	}
-	return nil, c.failed(ctx, verdict, err, fmt.Sprintf("sending %s to %s", req.URL.Path, c.addr))
+	return nil, c.requestError(ctx, verdict, err, fmt.Sprintf("sending %s to %s", req.URL.Path, c.addr))
 }
 
-// drain reads the little that may follow an answer that was understood, so that its connection can be used
-// again: the transport closes one whose answer was not read to its end. An upstream that
-// does not end its answer gets its connection closed.
+// drain reads what follows the end of a complete answer, so that the transport can reuse the connection,
+// which it closes if the body was not read to the end. It closes the body if that does not end
+// within drainTimeout.
 func drain(res *http.Response) {
-	limit := time.AfterFunc(drainTime, func() { res.Body.Close() })
-	defer limit.Stop()
-	io.CopyN(io.Discard, res.Body, drainLimit)
+	timer := time.AfterFunc(drainTimeout, func() { res.Body.Close() })
+	defer timer.Stop()
+	io.CopyN(io.Discard, res.Body, maxDrainBytes)
 }
 
-// failed returns err as a caller may read it. A connection that broke under a request counts as a crash of the upstream:
-// nothing tells at once whether it was one, and the request may be its cause.
-func (c *client) failed(ctx context.Context, verdict verd.Verdict, err error, what string) error {
+// requestError returns err as the error of an operation. A connection that broke during a request is reported as a
+// crash of the upstream: the cause is not known yet, and it may be the request itself.
+func (c *client) requestError(ctx context.Context, verdict verd.Verdict, err error, operation string) error {
 	if cause := ctx.Err(); cause != nil {
-		return verd.Mark(merry.Prepend(cause, what), verdict)
+		return verd.Mark(merry.Prepend(cause, operation), verdict)
 	}
 	code := refuse.Crashed
 	switch {
@@ -133,5 +133,5 @@
 	case errors.Is(err, sseio.ErrTooLong), errors.Is(err, sseio.ErrBareReturn):
 		code = refuse.Cut
 	}
-	return refuse.NewRefusal(verdict, code, "%s: %v", what, err)
+	return refuse.NewRefusal(verdict, code, "%s: %v", operation, err)
 }
--- a/internal/engine/cost_test.go
+++ b/internal/engine/cost_test.go
@@ -15,8 +15,8 @@
 	"damaskreach/internal/stand/uptime"
 )
 
-// streamOf returns a chunked HTTP answer of tokens events, a chunk each as engines send them.
-func streamOf(tokens int) string {
+// newStream returns a chunked HTTP answer with the given number of tokens, one event and one chunk per token.
+func newStream(tokens int) string {
 	var parts []string
 	for _, token := range engsim.Answer(model, "p", tokens) {
 		parts = append(parts, fmt.Sprintf(`data: {"id":"r","model":%q,"choices":[{"index":0,"text":%q,"finish_reason":null}]}`+"\n\n", model, token))
@@ -25,10 +25,10 @@
 	return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(parts...)
 }
 
-// allocs returns the allocations of reading a stream of tokens tokens, request and connection included.
-func allocs(t *testing.T, tokens int) float64 {
-	client := canned(t, streamOf(tokens))
-	c := ask(model, "p", tokens)
+// countAllocs returns the allocations of one streamed call of the given number of tokens, connection included.
+func countAllocs(t *testing.T, tokens int) float64 {
+	client := newCannedClient(t, newStream(tokens))
+	c := newCall(model, "p", tokens)
 	c.Once = true
 	head := func(int, string) error { return nil }
 	return testing.AllocsPerRun(10, func() {
@@ -45,19 +45,19 @@
 
 func TestAllocationsPerToken(t *testing.T) {
 	const few, many, bound = 100, 10100, 0.01
-	perToken := (allocs(t, many) - allocs(t, few)) / (many - few)
+	perToken := (countAllocs(t, many) - countAllocs(t, few)) / (many - few)
 	t.Logf("%.4f allocations per token", perToken)
 	if perToken > bound {
 		t.Errorf("%.4f allocations per token, want at most %v", perToken, bound)
 	}
 }
 
-// slowEnd is an engine whose answers end a moment after their end mark.
-type slowEnd struct {
+// lateEnd is an engine whose responses end 10 ms after the [DONE] event.
+type lateEnd struct {
 	*engsim.Engine
 }
 
-func (s slowEnd) Run(ctx context.Context, listen func() (net.Listener, error)) error {
+func (s lateEnd) Run(ctx context.Context, listen func() (net.Listener, error)) error {
 	return uptime.NewUptime().Run(ctx, listen, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.ServeHTTP(w, r)
 		http.NewResponseController(w).Flush()
@@ -65,8 +65,8 @@
 	}))
 }
 
-// A connection per request would cost a dial each, and on small hosts the ports run out.
-// The end of an answer often arrives only after the mark that makes it whole.
+// Guards against a dial per request, which runs small hosts out of ports.
+// A response often ends only after its [DONE] event, so the client must drain it.
 func TestConnectionsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.NewNet(1)
@@ -76,19 +76,19 @@
 			return network.Dial(caller)(ctx, addr)
 		})
 		t.Cleanup(client.Close)
-		run(t, network, slowEnd{engsim.NewEngine()})
+		run(t, network, lateEnd{engsim.NewEngine()})
 		load(t, client, model)
 		before := dials
 		for range 5 {
-			generate(soon(t), client, 1, ask(model, "p", 3), nil)
-			generate(soon(t), client, 1, ask("b@1", "p", 3), nil)
+			generate(testContext(t), client, 1, newCall(model, "p", 3), nil)
+			generate(testContext(t), client, 1, newCall("b@1", "p", 3), nil)
 			if _, err := client.Report(t.Context()); err != nil {
 				t.Errorf("Report = %v, want nil", err)
 			}
 			synctest.Wait()
 		}
 		if got := dials - before; got != 1 {
-			t.Errorf("%d dials for 15 requests that may be repeated, want 1", got)
+			t.Errorf("%d dials for 15 repeatable requests, want 1", got)
 		}
 	})
 }
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -7,16 +7,16 @@
 
 type callKey struct{}
 
-// withCall makes ctx known to the dial that a request may need.
+// withCall stores ctx in its own values, where the dial for a request finds it.
 func withCall(ctx context.Context) context.Context {
 	return context.WithValue(ctx, callKey{}, ctx)
 }
 
-// opener returns a dial for the transport that ends with the call it is for. The transport by itself lets a dial go on
-// when its call has ended, so that dials to a host that is gone would pile up with every call given up.
-func opener(addr string, dial func(ctx context.Context, addr string) (net.Conn, error)) func(ctx context.Context, network, target string) (net.Conn, error) {
+// newDialFunc returns a dial function for http.Transport that stops when the request's context ends. The transport
+// itself lets such a dial continue, so dials to a dead host would pile up with every cancelled request.
+func newDialFunc(addr string, dial func(ctx context.Context, addr string) (net.Conn, error)) func(ctx context.Context, network, target string) (net.Conn, error) {
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, dialTime)
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		if call, ok := ctx.Value(callKey{}).(context.Context); ok {
 			defer context.AfterFunc(call, cancel)()
@@ -25,6 +25,6 @@
 		if err != nil {
 			return nil, err
 		}
-		return &wire{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
--- a/internal/engine/event.go
+++ b/internal/engine/event.go
@@ -2,32 +2,32 @@
 
 import "bytes"
 
-const endMark = "[DONE]"
+const streamEnd = "[DONE]"
 
 var (
-	failureOpening = []byte(`{"error"`)
-	textField      = []byte(`"text":`)
-	contentField   = []byte(`"content":`)
-	emptyText      = []byte(`""`)
+	errorPrefix  = []byte(`{"error"`)
+	textField    = []byte(`"text":`)
+	contentField = []byte(`"content":`)
+	emptyText    = []byte(`""`)
 )
 
 // hasToken reports whether an event carries a token. Engines send one event per token; events that only
-// open a chat, close it or state the usage have no text. The fields cannot be met inside a
-// string of the event, because its quotes are escaped there.
+// start a chat, end it or state the usage have no text. The field names cannot match inside
+// a JSON string, because quotes are escaped there.
 func hasToken(data []byte) bool {
 	return hasText(data, textField) || hasText(data, contentField)
 }
 
 func hasText(data, field []byte) bool {
-	at := bytes.Index(data, field)
-	if at < 0 {
+	index := bytes.Index(data, field)
+	if index < 0 {
 		return false
 	}
-	value := bytes.TrimLeft(data[at+len(field):], " ")
+	value := bytes.TrimLeft(data[index+len(field):], " ")
 	return bytes.HasPrefix(value, emptyText[:1]) && !bytes.HasPrefix(value, emptyText)
 }
 
-// isFailure reports whether an event says that the engine gave the answer up.
-func isFailure(data []byte) bool {
-	return bytes.HasPrefix(data, failureOpening)
+// isErrorEvent reports whether an event says that the engine aborted the answer.
+func isErrorEvent(data []byte) bool {
+	return bytes.HasPrefix(data, errorPrefix)
 }
--- a/internal/engine/fault_test.go
+++ b/internal/engine/fault_test.go
@@ -18,78 +18,78 @@
 	"damaskreach/pkg/verd"
 )
 
-// check compares the refusal in err with the wanted code and verdict.
-func check(t *testing.T, what string, err error, code string, verdict verd.Verdict) {
+// checkRefusal checks that err is a refusal with the given code and verdict.
+func checkRefusal(t *testing.T, operation string, err error, code string, verdict verd.Verdict) {
 	t.Helper()
 	var refusal *refuse.Refusal
 	if !errors.As(err, &refusal) || refusal.Code != code || verd.Of(err) != verdict {
-		t.Errorf("%s = %v (%v), want %s (%v)", what, err, verd.Of(err), code, verdict)
+		t.Errorf("%s = %v (%v), want %s (%v)", operation, err, verd.Of(err), code, verdict)
 	}
 }
 
-// The engine crashes while it streams. Its connection just ends; were that taken
-// for the end of the answer, a caller would act on half of one.
+// An engine that crashes while it streams just closes its connection; taken for the
+// end of the answer, that would give the caller a truncated one.
 func TestCrashMidStreamIsACutAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engsim.NewEngine()
 		client := serve(t, e)
 		load(t, client, model)
-		got := generate(soon(t), client, 1, ask(model, "p", 50), func(token int) {
+		got := generate(testContext(t), client, 1, newCall(model, "p", 50), func(token int) {
 			if token == 10 {
 				e.Crash()
 			}
 		})
-		check(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
+		checkRefusal(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
 		if end := e.Records()[0].End; end != recrd.Cut {
 			t.Errorf("the engine's record ended %q, want %q", end, recrd.Cut)
 		}
 	})
 }
 
-// A prompt crashes the engine after it was accepted. Nothing of an answer has come, but the request
-// has run: "not run" would be untrue and would send it on to crash the next engine.
+// A prompt that crashes the engine after it was accepted has run, although no token arrived.
+// Reported as not run, it would be retried and crash the next engine.
 func TestCrashBeforeTheFirstTokenMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engsim.NewEngine()
 		e.Poison = "boom"
 		client := serve(t, e)
 		load(t, client, model)
-		got := generate(soon(t), client, 1, ask(model, "boom", 5), nil)
-		check(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
-		got = generate(soon(t), client, 1, ask(model, "fine", 5), nil)
-		check(t, "Generate while the engine is down", got.err, refuse.NoUpstream, verd.NotRun)
+		got := generate(testContext(t), client, 1, newCall(model, "boom", 5), nil)
+		checkRefusal(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
+		got = generate(testContext(t), client, 1, newCall(model, "fine", 5), nil)
+		checkRefusal(t, "Generate while the engine is down", got.err, refuse.NoUpstream, verd.NotRun)
 		time.Sleep(e.Restart)
 		synctest.Wait()
-		got = generate(soon(t), client, 1, ask(model, "fine", 5), nil)
-		check(t, "Generate on a cold engine", got.err, refuse.NoUpstream, verd.NotRun)
+		got = generate(testContext(t), client, 1, newCall(model, "fine", 5), nil)
+		checkRefusal(t, "Generate on a cold engine", got.err, refuse.NoUpstream, verd.NotRun)
 		if status := engine.Status(got.err); status != 404 {
 			t.Errorf("Status = %d, want 404", status)
 		}
 	})
 }
 
-// Nothing was sent: the dial is refused, or is still going on when the caller gives up.
-// The caller may go elsewhere at once, also with a booking.
-func TestDialThatFailsHasNotRun(t *testing.T) {
+// Nothing was sent if the dial is refused or still in progress when the caller gives up,
+// so the caller may retry elsewhere at once, even a booking.
+func TestFailedDialHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := engine.NewEngine(addr, memnet.NewNet(1).Dial(caller))
-		got := generate(soon(t), refused, 1, ask(model, "p", 5), nil)
-		check(t, "Generate", got.err, refuse.NoUpstream, verd.NotRun)
+		got := generate(testContext(t), refused, 1, newCall(model, "p", 5), nil)
+		checkRefusal(t, "Generate", got.err, refuse.NoUpstream, verd.NotRun)
 		hangs := engine.NewEngine(addr, func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		got = generate(ctx, hangs, 1, ask(model, "p", 5), nil)
+		got = generate(ctx, hangs, 1, newCall(model, "p", 5), nil)
 		if !errors.Is(got.err, context.DeadlineExceeded) || verd.Of(got.err) != verd.NotRun {
 			t.Errorf("Generate = %v (%v), want deadline exceeded, not-run", got.err, verd.Of(got.err))
 		}
 	})
 }
 
-// The connection stands, but the peer is frozen and reads nothing. What the local
-// socket took may still arrive after the caller has given up, so it may have run.
+// The peer is frozen and reads nothing. Bytes that the local socket accepted may still
+// arrive after the caller has given up, so the request may have run.
 func TestRequestHeldByAFrozenPeerMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.NewNet(1)
@@ -98,16 +98,16 @@
 		client := engine.NewEngine(addr, network.Dial(caller))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		got := generate(ctx, client, 1, ask(model, "p", 5), nil)
+		got := generate(ctx, client, 1, newCall(model, "p", 5), nil)
 		if !errors.Is(got.err, context.DeadlineExceeded) || verd.Of(got.err) != verd.MayHaveRun {
 			t.Errorf("Generate = %v (%v), want deadline exceeded, may-have-run", got.err, verd.Of(got.err))
 		}
 	})
 }
 
-// The previous owner of a runner was paused and wakes to act with its old fencing number.
-// Engines that honour fences refuse it; others obey, and their reports show no fence.
-func TestOldFence(t *testing.T) {
+// A former owner resumes after a pause and uses its old fencing token.
+// Engines with fencing refuse it; others obey, and their reports show no fencing token.
+func TestOldFencingToken(t *testing.T) {
 	for _, honours := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			e := engsim.NewEngine()
@@ -117,11 +117,11 @@
 			if err := client.Load(t.Context(), 7, "b@1"); err != nil {
 				t.Fatalf("Load with a higher fence = %v, want nil", err)
 			}
-			start := generate(soon(t), client, 6, ask(model, "p", 2), nil).err
+			start := generate(testContext(t), client, 6, newCall(model, "p", 2), nil).err
 			order := client.Unload(t.Context(), 6, model)
 			if honours {
-				check(t, "Generate with an old fence", start, refuse.Moved, verd.NotRun)
-				check(t, "Unload with an old fence", order, refuse.Moved, verd.NotRun)
+				checkRefusal(t, "Generate with an old fence", start, refuse.Moved, verd.NotRun)
+				checkRefusal(t, "Unload with an old fence", order, refuse.Moved, verd.NotRun)
 				return
 			}
 			if start != nil || order != nil {
@@ -131,32 +131,32 @@
 	}
 }
 
-// A load finds the slots full, fails at the store, or the model asked for is not there.
-// Each is a certain "no", so the owner may decide anew at once.
-func TestCertainRefusals(t *testing.T) {
+// A load finds no free slot or fails at the weight store, or a request names a model that isn't loaded.
+// Each refusal is definite, so the owner may decide again at once.
+func TestRefusalsBeforeStartHaveNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engsim.NewEngine()
 		e.Slots = 1
 		client := serve(t, e)
 		e.FailLoads(1)
 		err := client.Load(t.Context(), 1, model)
-		check(t, "Load that fails", err, refuse.LoadFailed, verd.NotRun)
+		checkRefusal(t, "Load that fails", err, refuse.LoadFailed, verd.NotRun)
 		load(t, client, model)
 		err = client.Load(t.Context(), 1, "b@1")
-		check(t, "Load into full slots", err, refuse.LoadFailed, verd.NotRun)
+		checkRefusal(t, "Load into full slots", err, refuse.LoadFailed, verd.NotRun)
 		if got := engine.Status(err); got != 409 {
 			t.Errorf("Status = %d, want 409", got)
 		}
-		got := generate(soon(t), client, 1, ask("b@1", "p", 2), nil)
-		check(t, "Generate on a model not loaded", got.err, refuse.NoUpstream, verd.NotRun)
+		got := generate(testContext(t), client, 1, newCall("b@1", "p", 2), nil)
+		checkRefusal(t, "Generate on a model not loaded", got.err, refuse.NoUpstream, verd.NotRun)
 		if n := len(e.Records()); n != 0 {
 			t.Errorf("the engine recorded %d runs, want 0", n)
 		}
 	})
 }
 
-// An engine is ordered to load more models at once than the weight store allows in a second. Those above the
-// rate fail at once and for certain, instead of slowing down all others.
+// Loads above the weight store's rate limit must fail at once with a definite refusal
+// instead of slowing down all others.
 func TestLoadsAboveTheStoreRateFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := wstore.NewStore()
@@ -166,24 +166,24 @@
 		client := serve(t, e)
 		load(t, client, "a0@1", "a1@1", "a2@1")
 		for _, m := range []string{"a3@1", "a4@1"} {
-			check(t, "Load above the rate", client.Load(t.Context(), 1, m), refuse.LoadFailed, verd.NotRun)
+			checkRefusal(t, "Load above the rate", client.Load(t.Context(), 1, m), refuse.LoadFailed, verd.NotRun)
 		}
 		time.Sleep(time.Second)
 		load(t, client, "a3@1", "a4@1")
 	})
 }
 
-// The caller's side breaks while an answer is passed on. The engine must stop at once instead
-// of generating the rest for nobody.
-func TestEmitThatFailsStopsTheEngine(t *testing.T) {
+// The caller's connection breaks during an answer. The engine must stop at once instead
+// of generating the remaining tokens.
+func TestEmitErrorStopsTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engsim.NewEngine()
 		client := serve(t, e)
 		load(t, client, model)
 		gone := errors.New("caller gone")
 		head := func(int, string) error { return nil }
-		err := client.Generate(soon(t), 1, ask(model, "p", 1000), head, func(int, []byte) error { return gone })
-		time.Sleep(5 * time.Millisecond) // less than a step, and more than the network takes
+		err := client.Generate(testContext(t), 1, newCall(model, "p", 1000), head, func(int, []byte) error { return gone })
+		time.Sleep(5 * time.Millisecond) // less than one step of the engine, more than the network latency
 		synctest.Wait()
 		if !errors.Is(err, gone) || verd.Of(err) != verd.MayHaveRun {
 			t.Errorf("Generate = %v (%v), want %v (may-have-run)", err, verd.Of(err), gone)
@@ -194,7 +194,7 @@
 	})
 }
 
-// The engine's queue is full. It says that it started nothing, so that the caller may go elsewhere.
+// An engine whose queue is full reports that it started nothing, so the caller may retry elsewhere.
 func TestFullQueueHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engsim.NewEngine()
@@ -203,10 +203,10 @@
 		load(t, client, model)
 		var all sync.WaitGroup
 		for range 2 {
-			all.Go(func() { generate(soon(t), client, 1, ask(model, "p", 100), nil) })
+			all.Go(func() { generate(testContext(t), client, 1, newCall(model, "p", 100), nil) })
 			time.Sleep(50 * time.Millisecond)
 		}
-		check(t, "Generate", generate(soon(t), client, 1, ask(model, "p", 1), nil).err, refuse.Overloaded, verd.NotRun)
+		checkRefusal(t, "Generate", generate(testContext(t), client, 1, newCall(model, "p", 1), nil).err, refuse.Overloaded, verd.NotRun)
 		all.Wait()
 		if n := len(e.Records()); n != 2 {
 			t.Errorf("%d records, want 2", n)
--- a/internal/engine/seeds_test.go
+++ b/internal/engine/faults_random_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	seeds    = 15
-	attempts = 60 // of each seed
-	span     = 30 // seconds over which they are made
+	seeds       = 15
+	attempts    = 60 // per seed
+	spanSeconds = 30 // period over which the attempts are spread
 )
 
-// An engine crashes, its host freezes and thaws, connections break, its link is cut and heals with bytes of given-up calls still
-// under way, and callers give up, in any order. Whatever an error then says of a request must agree with the
-// engine's own records: a request called not run that ran is sent again and runs twice.
+// Crashes, freezes, broken connections, network partitions that heal with data of abandoned calls in transit,
+// and caller timeouts occur in random order. The verdict of each error must agree with the engine's records:
+// a request that ran but is reported as not run would be retried and run twice.
 func TestVerdictsAgreeWithTheEngineUnderFaults(t *testing.T) {
 	total := map[string]int{}
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			for verdict, n := range faulty(t, seed) {
+			for verdict, n := range runSeed(t, seed) {
 				total[verdict] += n
 			}
 		})
@@ -44,14 +44,14 @@
 	}
 }
 
-// links are the client's connections, which break when they are cut.
-type links struct {
+// breakableConns tracks the client's connections, so that cut can close them all.
+type breakableConns struct {
 	dial func(ctx context.Context, addr string) (net.Conn, error)
 	mu   sync.Mutex
 	all  []net.Conn
 }
 
-func (l *links) open(ctx context.Context, addr string) (net.Conn, error) {
+func (l *breakableConns) open(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := l.dial(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return conn, nil
 }
 
-func (l *links) cut() {
+func (l *breakableConns) cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.all {
@@ -71,47 +71,47 @@
 	l.all = nil
 }
 
-// faulty makes the attempts of one seed and returns how many ended in which way.
-func faulty(t *testing.T, seed uint64) map[string]int {
+// runSeed makes the attempts of one seed and returns the number of attempts per outcome.
+func runSeed(t *testing.T, seed uint64) map[string]int {
 	random := rand.New(rand.NewPCG(seed, 0))
 	network := memnet.NewNet(int64(seed))
 	network.SetLinger(true)
 	e := engsim.NewEngine()
 	e.Restart = time.Second
-	links := &links{dial: network.Dial(caller)}
+	links := &breakableConns{dial: network.Dial(caller)}
 	client := engine.NewEngine(addr, links.open)
 	t.Cleanup(client.Close)
 	run(t, network, e)
 	load(t, client, model)
 	host, _, _ := net.SplitHostPort(addr)
-	disturb(t.Context(), random.Int64(), network, host, e, links)
+	injectFaults(t.Context(), random.Int64(), network, host, e, links)
 	answers := make([]*answer, attempts)
 	var all sync.WaitGroup
 	for i := range attempts {
-		after := time.Duration(random.Int64N(span * int64(time.Second)))
+		after := time.Duration(random.Int64N(spanSeconds * int64(time.Second)))
 		patience := time.Duration(random.Int64N(int64(4 * time.Second)))
 		all.Go(func() {
 			time.Sleep(after)
 			ctx, cancel := context.WithTimeout(t.Context(), patience)
 			defer cancel()
-			c := ask(model, fmt.Sprintf("%d", i), 50)
+			c := newCall(model, fmt.Sprintf("%d", i), 50)
 			c.Once = i%2 == 0
 			answers[i] = generate(ctx, client, 1, c, nil)
 		})
 	}
 	all.Wait()
-	time.Sleep(time.Minute) // for bytes that were held back to arrive
-	return outcomes(t, seed, answers, e.Records())
+	time.Sleep(time.Minute) // lets delayed bytes arrive
+	return countOutcomes(t, seed, answers, e.Records())
 }
 
-// disturb causes a fault about every second and ends it a little later.
-func disturb(ctx context.Context, seed int64, network *memnet.Net, host string, e *engsim.Engine, links *links) {
+// injectFaults starts one fault in each second and ends it up to 2 s later.
+func injectFaults(ctx context.Context, seed int64, network *memnet.Net, host string, e *engsim.Engine, links *breakableConns) {
 	random := rand.New(rand.NewPCG(uint64(seed), 1))
 	reload := engine.NewEngine(addr, network.Dial(caller))
 	context.AfterFunc(ctx, reload.Close)
-	for second := range span {
+	for second := range spanSeconds {
 		length := time.Duration(random.Int64N(int64(2 * time.Second)))
-		at := time.Duration(second)*time.Second + time.Duration(random.Int64N(int64(time.Second)))
+		start := time.Duration(second)*time.Second + time.Duration(random.Int64N(int64(time.Second)))
 		begin, end := e.Crash, func() {}
 		switch random.IntN(5) {
 		case 0:
@@ -123,14 +123,14 @@
 		case 3:
 			begin = links.cut
 		}
-		time.AfterFunc(at, begin)
-		time.AfterFunc(at+length, end)
-		time.AfterFunc(at+500*time.Millisecond, func() { reload.Load(ctx, 1, model) })
+		time.AfterFunc(start, begin)
+		time.AfterFunc(start+length, end)
+		time.AfterFunc(start+500*time.Millisecond, func() { reload.Load(ctx, 1, model) })
 	}
 }
 
-// outcomes compares what callers were told with what the engine did.
-func outcomes(t *testing.T, seed uint64, answers []*answer, records []recrd.Record) map[string]int {
+// countOutcomes checks the answers against the engine's records and counts the outcomes.
+func countOutcomes(t *testing.T, seed uint64, answers []*answer, records []recrd.Record) map[string]int {
 	ran := map[string][]recrd.Record{}
 	for _, rec := range records {
 		ran[rec.Attempt] = append(ran[rec.Attempt], rec)
@@ -142,7 +142,7 @@
 		if len(runs) > 1 {
 			t.Errorf("seed %d: attempt %d ran %d times: %+v", seed, i, len(runs), runs)
 		}
-		if want := whole(model, text, 50); a.err == nil && a.text.String() != want || !strings.HasPrefix(want, a.text.String()) {
+		if want := expectedText(model, text, 50); a.err == nil && a.text.String() != want || !strings.HasPrefix(want, a.text.String()) {
 			t.Errorf("seed %d: attempt %d = %q, %v, want %q", seed, i, a.text.String(), a.err, want)
 		}
 		switch {
--- a/internal/engine/generate.go
+++ b/internal/engine/generate.go
@@ -16,82 +16,82 @@
 )
 
 const (
-	// PlainLimit is the most bytes of an answer that is not a stream.
-	PlainLimit = 16 << 20
-	eventLimit = 1 << 20 // bytes of one event of a stream
-	streamKind = "text/event-stream"
+	// PlainLimit is the maximum size, in bytes, of an answer that is not a stream.
+	PlainLimit    = 16 << 20
+	maxEventBytes = 1 << 20 // bytes of one event of a stream
+	streamType    = "text/event-stream"
 )
 
-func (c *client) generate(ctx context.Context, fence int64, what call.Call, head func(status int, kind string) error, emit emit) error {
-	req, err := c.request(fence, what)
+func (c *client) generate(ctx context.Context, fence int64, input call.Call, head func(status int, kind string) error, emit emit) error {
+	req, err := c.newRequest(fence, input)
 	if err != nil {
 		return refuse.NewRefusal(verd.NotRun, refuse.BadRequest, "forming a request to %s: %v", c.addr, err)
 	}
-	res, err := c.send(ctx, c.transport(what.Once, len(what.Body)), req)
+	res, err := c.send(ctx, c.transport(input.Once, len(input.Body)), req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	if err := c.matches(res, what.Attempt); err != nil {
+	if err := c.checkAttempt(res, input.Attempt); err != nil {
 		return err
 	}
-	model := what.Adapter != ""
+	model := input.Adapter != ""
 	if model {
-		if refusal := c.refused(res); refusal != nil {
+		if refusal := c.checkRefusal(res); refusal != nil {
 			return refusal
 		}
 	}
 	if model && isStream(res) {
-		return c.stream(ctx, res, what.From, head, emit)
+		return c.stream(ctx, res, input.From, head, emit)
 	}
 	return c.plain(ctx, res, head, emit)
 }
 
-// request forms the HTTP request of a call. The path keeps the caller's own escapes.
-func (c *client) request(fence int64, what call.Call) (*http.Request, error) {
-	at, err := url.ParseRequestURI(what.Path)
+// newRequest creates the HTTP request of a call. The path keeps the caller's percent-encoding.
+func (c *client) newRequest(fence int64, input call.Call) (*http.Request, error) {
+	target, err := url.ParseRequestURI(input.Path)
 	if err != nil {
 		return nil, err
 	}
-	at.Scheme = "http"
-	at.Host = c.addr
-	req, err := http.NewRequest(what.Method, "http://"+c.addr, newBody(what.Body))
+	target.Scheme = "http"
+	target.Host = c.addr
+	req, err := http.NewRequest(input.Method, "http://"+c.addr, newBody(input.Body))
 	if err != nil {
 		return nil, err
 	}
-	req.URL = at
-	req.ContentLength = int64(len(what.Body))
-	set(req, "User-Agent", agent)
-	set(req, "Content-Type", what.Type)
-	set(req, HeaderRequest, what.ID)
-	set(req, HeaderAttempt, what.Attempt)
-	set(req, HeaderKey, what.Key)
-	set(req, HeaderPrefix, what.Prefix)
-	set(req, HeaderFence, number(fence))
-	set(req, HeaderPriority, number(int64(what.Priority)))
-	set(req, HeaderResume, number(int64(what.From)))
+	req.URL = target
+	req.ContentLength = int64(len(input.Body))
+	setHeader(req, "User-Agent", userAgent)
+	setHeader(req, "Content-Type", input.Type)
+	setHeader(req, HeaderRequest, input.ID)
+	setHeader(req, HeaderAttempt, input.Attempt)
+	setHeader(req, HeaderKey, input.Key)
+	setHeader(req, HeaderPrefix, input.Prefix)
+	setHeader(req, HeaderFence, formatNumber(fence))
+	setHeader(req, HeaderPriority, formatNumber(int64(input.Priority)))
+	setHeader(req, HeaderResume, formatNumber(int64(input.From)))
 	return req, nil
 }
 
-// set sets a header that has a value.
-func set(req *http.Request, name, value string) {
+// setHeader sets a header unless value is empty.
+func setHeader(req *http.Request, name, value string) {
 	if value != "" {
 		req.Header.Set(name, value)
 	}
 }
 
-// number writes a decimal header, or none for 0.
-func number(n int64) string {
+// formatNumber formats n as a decimal header value, or as the empty string if n is 0.
+func formatNumber(n int64) string {
 	if n == 0 {
 		return ""
 	}
 	return strconv.FormatInt(n, 10)
 }
 
-// matches refuses an answer that belongs to another attempt. An upstream that answers an abandoned
-// request late, on a connection that has gone on to the next one, would hand a caller someone else's answer.
-// Upstreams that return the attempt header make this visible; others are not checked.
-func (c *client) matches(res *http.Response, attempt string) error {
+// checkAttempt rejects an answer that belongs to another attempt. An upstream that answers an abandoned request
+// late, on a connection already used for the next one, would give a caller someone else's answer.
+// Only upstreams that return the attempt header are checked.
+func (c *client) checkAttempt(res *http.Response, attempt string) error {
 	got := res.Header.Get(HeaderAttempt)
 	if got == "" || got == attempt {
 		return nil
@@ -99,9 +99,9 @@
 	return refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "upstream %s answered attempt %q instead of %q", c.addr, got, attempt)
 }
 
-// endsUnmarked reports whether an answer ends only where its connection does. A crash ends
-// a connection too, so the whole of such an answer cannot be told from a part of it.
-func endsUnmarked(res *http.Response) bool {
+// endsAtClose reports whether only the closing of the connection marks the end of an answer. A crash closes
+// the connection too, so a complete answer cannot be told from a truncated one.
+func endsAtClose(res *http.Response) bool {
 	if res.StatusCode < http.StatusOK {
 		return true
 	}
@@ -110,26 +110,26 @@
 
 func isStream(res *http.Response) bool {
 	kind, _, err := mime.ParseMediaType(res.Header.Get("Content-Type"))
-	return err == nil && kind == streamKind && res.StatusCode == http.StatusOK
+	return err == nil && kind == streamType && res.StatusCode == http.StatusOK
 }
 
-// stream passes on the events of an answer until its end mark. Only the mark makes it whole:
-// an engine that crashes between two events may close its connection as politely as one that has finished.
+// stream emits the events of an answer until streamEnd. Only that event makes the answer complete:
+// an engine that crashes between two events may close its connection as cleanly as one that has finished.
 func (c *client) stream(ctx context.Context, res *http.Response, token int, head func(status int, kind string) error, emit emit) error {
 	if err := head(res.StatusCode, res.Header.Get("Content-Type")); err != nil {
 		return err
 	}
-	events := sseio.NewReader(res.Body, eventLimit)
+	events := sseio.NewReader(res.Body, maxEventBytes)
 	for {
 		data, err := events.Next()
 		if err != nil {
-			return c.failed(ctx, verd.MayHaveRun, err, fmt.Sprintf("reading token %d of %s", token+1, c.addr))
+			return c.requestError(ctx, verd.MayHaveRun, err, fmt.Sprintf("reading token %d of %s", token+1, c.addr))
 		}
-		if string(data) == endMark {
+		if string(data) == streamEnd {
 			drain(res)
 			return nil
 		}
-		if isFailure(data) {
+		if isErrorEvent(data) {
 			return refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "engine %s gave up after token %d", c.addr, token)
 		}
 		if hasToken(data) {
@@ -141,14 +141,14 @@
 	}
 }
 
-// plain passes on an answer that is one body, after the whole of it has arrived.
+// plain emits an answer that is not a stream as one piece, after all of it has arrived.
 func (c *client) plain(ctx context.Context, res *http.Response, head func(status int, kind string) error, emit emit) error {
-	if endsUnmarked(res) {
+	if endsAtClose(res) {
 		return refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "reading an answer of %s: neither its length nor its end is marked", c.addr)
 	}
 	content, err := io.ReadAll(io.LimitReader(res.Body, PlainLimit+1))
 	if err != nil {
-		return c.failed(ctx, verd.MayHaveRun, err, "reading an answer of "+c.addr)
+		return c.requestError(ctx, verd.MayHaveRun, err, "reading an answer of "+c.addr)
 	}
 	if len(content) > PlainLimit {
 		return refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "reading an answer of %s: over %d bytes", c.addr, PlainLimit)
--- a/internal/engine/header.go
+++ b/internal/engine/header.go
@@ -1,18 +1,18 @@
 package engine
 
-// Headers of the protocol with upstreams. PROTOCOLS describes each.
+// Headers of the protocol with upstreams, described in PROTOCOLS.
 const (
 	HeaderRequest  = "X-Request-Id"
 	HeaderAttempt  = "X-Attempt-Id"
 	HeaderKey      = "Idempotency-Key"
-	HeaderFence    = "X-Fence"       // fencing number of the sender's ownership, decimal
+	HeaderFence    = "X-Fence"       // the sender's fencing token, decimal
 	HeaderPriority = "X-Priority"    // higher is more urgent, decimal
-	HeaderResume   = "X-Resume-From" // tokens that were delivered before; the answer goes on after them
-	HeaderPrefix   = "X-Prefix"      // hash of the prompt's opening
-	HeaderRefused  = "X-Not-Started" // set by an engine on a 503 that it gave before starting anything
+	HeaderResume   = "X-Resume-From" // number of tokens already delivered; the answer continues after them
+	HeaderPrefix   = "X-Prefix"      // hash of the prompt's prefix
+	HeaderRefused  = "X-Not-Started" // set by an engine on a 503 if it started nothing
 )
 
-// Paths of an engine's interface for orders and reports.
+// Paths of an engine's API for orders and reports.
 const (
 	PathLoad   = "/orders/load"
 	PathUnload = "/orders/unload"
--- a/internal/engine/site_test.go
+++ b/internal/engine/helpers_test.go
@@ -20,13 +20,13 @@
 	model  = "kiln@3"
 )
 
-// serving is an upstream that can be run on listeners.
-type serving interface {
+// runnable is an upstream that serves on listeners.
+type runnable interface {
 	Run(ctx context.Context, listen func() (net.Listener, error)) error
 }
 
-// serve runs an upstream on a network in memory until the test ends, and returns a client of it.
-func serve(t *testing.T, upstream serving) engine.Engine {
+// serve runs an upstream on an in-memory network until the test ends, and returns a client for it.
+func serve(t *testing.T, upstream runnable) engine.Engine {
 	t.Helper()
 	net := memnet.NewNet(1)
 	client := engine.NewEngine(addr, net.Dial(caller))
@@ -35,7 +35,7 @@
 	return client
 }
 
-func run(t *testing.T, network *memnet.Net, upstream serving) {
+func run(t *testing.T, network *memnet.Net, upstream runnable) {
 	listening := make(chan struct{}, 16)
 	go upstream.Run(t.Context(), func() (net.Listener, error) {
 		defer func() { listening <- struct{}{} }()
@@ -44,7 +44,7 @@
 	<-listening
 }
 
-// load makes models resident.
+// load loads models with fencing token 1.
 func load(t *testing.T, client engine.Engine, models ...string) {
 	t.Helper()
 	for _, m := range models {
@@ -54,8 +54,8 @@
 	}
 }
 
-// ask returns a streamed call for tokens tokens on adapter@version.
-func ask(model, text string, tokens int) call.Call {
+// newCall returns a streamed call for the given number of tokens; model is adapter@version.
+func newCall(model, text string, tokens int) call.Call {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": text, "max_tokens": tokens, "stream": true})
 	if err != nil {
 		panic(err)
@@ -67,17 +67,17 @@
 	}
 }
 
-// answer is what a caller of Generate was given.
+// answer is what Generate passed to its caller.
 type answer struct {
 	status int
 	kind   string
-	text   strings.Builder // of a stream: its tokens; else the body
-	raw    strings.Builder // every piece
+	text   strings.Builder // the tokens of a stream, else the body
+	raw    strings.Builder // all pieces as received
 	tokens int
 	err    error
 }
 
-// generate runs c; seen, if any, is called after each piece.
+// generate runs c and calls seen, unless nil, after each piece.
 func generate(ctx context.Context, client engine.Engine, fence int64, c call.Call, seen func(token int)) *answer {
 	a := &answer{}
 	head := func(status int, kind string) error {
@@ -96,26 +96,26 @@
 	return a
 }
 
-// textOf returns the text of an event, or the piece itself where it is none.
+// textOf returns the text of an event, or the piece itself if it is not an event.
 func textOf(piece []byte) string {
-	var said struct {
+	var event struct {
 		Choices []struct {
 			Text  string
 			Delta struct{ Content string }
 		}
 	}
-	if json.Unmarshal(piece, &said) != nil || len(said.Choices) == 0 {
+	if json.Unmarshal(piece, &event) != nil || len(event.Choices) == 0 {
 		return string(piece)
 	}
-	return said.Choices[0].Text + said.Choices[0].Delta.Content
+	return event.Choices[0].Text + event.Choices[0].Delta.Content
 }
 
-func whole(model, text string, tokens int) string {
+func expectedText(model, text string, tokens int) string {
 	return strings.Join(engsim.Answer(model, text, tokens), "")
 }
 
-// soon is a context for calls that a defect would make hang.
-func soon(t *testing.T) context.Context {
+// testContext returns a context that ends calls which hang because of a defect.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	t.Cleanup(cancel)
 	return ctx
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	reportLimit = 1 << 20 // bytes of a report
-	jsonKind    = "application/json"
+	maxReportBytes = 1 << 20 // bytes
+	jsonType       = "application/json"
 )
 
 type order struct {
@@ -25,27 +25,27 @@
 }
 
 func (c *client) load(ctx context.Context, fence int64, model string) error {
-	return c.order(ctx, PathLoad, order{Model: model, Fence: fence})
+	return c.sendOrder(ctx, PathLoad, order{Model: model, Fence: fence})
 }
 
 func (c *client) unload(ctx context.Context, fence int64, model string) error {
-	return c.order(ctx, PathUnload, order{Model: model, Fence: fence})
+	return c.sendOrder(ctx, PathUnload, order{Model: model, Fence: fence})
 }
 
-// order gives an order over a connection of its own: one that lay in a broken connection's buffer
-// and was sent again later could take effect after the ownership has moved on.
-func (c *client) order(ctx context.Context, path string, o order) error {
+// sendOrder sends an order over a new connection: one left in the buffer of a broken connection
+// and sent again later could take effect after the engine has changed owners.
+func (c *client) sendOrder(ctx context.Context, path string, o order) error {
 	content, err := json.Marshal(o)
 	if err != nil {
-		return NotRun(merry.Prepend(err, "writing an order"))
+		return NotRun(merry.Prepend(err, "encoding an order"))
 	}
-	req, err := c.control(http.MethodPost, path, content)
+	req, err := c.newControlRequest(http.MethodPost, path, content)
 	if err != nil {
-		return NotRun(merry.Prepend(err, "forming an order"))
+		return NotRun(merry.Prepend(err, "creating the request of an order"))
 	}
-	set(req, "Content-Type", jsonKind)
-	set(req, HeaderFence, number(o.Fence))
-	res, err := c.send(ctx, c.fresh, req)
+	setHeader(req, "Content-Type", jsonType)
+	setHeader(req, HeaderFence, formatNumber(o.Fence))
+	res, err := c.send(ctx, c.unpooled, req)
 	if err != nil {
 		return err
 	}
@@ -53,38 +53,38 @@
 	if res.StatusCode == http.StatusOK {
 		return nil
 	}
-	if refusal := c.refused(res); refusal != nil {
+	if refusal := c.checkRefusal(res); refusal != nil {
 		return refusal
 	}
 	if res.StatusCode == http.StatusBadGateway || res.StatusCode == http.StatusBadRequest {
-		return c.refusal(res, refuse.LoadFailed)
+		return c.newRefusal(res, refuse.LoadFailed)
 	}
 	return refuse.NewRefusal(verd.MayHaveRun, refuse.Internal, "ordering %s at %s: status %d", path, c.addr, res.StatusCode)
 }
 
 func (c *client) report(ctx context.Context) (report.Report, error) {
-	var said report.Report
-	req, err := c.control(http.MethodGet, PathReport, nil)
+	var result report.Report
+	req, err := c.newControlRequest(http.MethodGet, PathReport, nil)
 	if err != nil {
-		return said, NotRun(merry.Prepend(err, "forming a request for a report"))
+		return result, NotRun(merry.Prepend(err, "creating the request for a report"))
 	}
-	res, err := c.send(ctx, c.pooled, req) // a report asked for twice does no harm
+	res, err := c.send(ctx, c.pooled, req) // a report may safely be requested twice
 	if err != nil {
-		return said, err
+		return result, err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return said, merry.Errorf("reading the report of %s: status %d", c.addr, res.StatusCode)
+		return result, merry.Errorf("reading the report of %s: unexpected status %d", c.addr, res.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(res.Body, reportLimit)).Decode(&said)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxReportBytes)).Decode(&result)
 	if err != nil {
-		return said, merry.Prepend(err, fmt.Sprintf("reading the report of %s", c.addr))
+		return result, merry.Prepend(err, fmt.Sprintf("reading the report of %s", c.addr))
 	}
 	drain(res)
-	return said, nil
+	return result, nil
 }
 
-func (c *client) control(method, path string, content []byte) (*http.Request, error) {
+func (c *client) newControlRequest(method, path string, content []byte) (*http.Request, error) {
 	req, err := http.NewRequest(method, "http://"+c.addr+path, newBody(content))
 	if err != nil {
 		return nil, err
--- a/internal/engine/plain_test.go
+++ b/internal/engine/plain_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		client := serve(t, plain.NewService())
 		c := booking()
-		got := generate(soon(t), client, 1, c, nil)
+		got := generate(testContext(t), client, 1, c, nil)
 		want := string(plain.Answer(c.Method, c.Path, c.Type, c.Body))
 		if got.err != nil || got.status != 202 || got.kind != "application/json" || got.raw.String() != want {
 			t.Errorf("Generate = %d %q %q, %v, want 202 application/json %q", got.status, got.kind, got.raw.String(), got.err, want)
@@ -41,22 +41,22 @@
 		for _, path := range []string{"//halls", "/halls/../4", "/halls//4", "/halls?"} {
 			c.Path = path
 			want := string(plain.Answer(c.Method, c.Path, c.Type, c.Body))
-			if got := generate(soon(t), client, 1, c, nil); got.err != nil || got.raw.String() != want {
+			if got := generate(testContext(t), client, 1, c, nil); got.err != nil || got.raw.String() != want {
 				t.Errorf("path %s: got %q, %v, want %q", path, got.raw.String(), got.err, want)
 			}
 		}
 		for _, status := range []int{404, 409, 412, 503} {
 			c.Path = "/halls?status=" + strconv.Itoa(status)
-			if got := generate(soon(t), client, 1, c, nil); got.err != nil || got.status != status {
+			if got := generate(testContext(t), client, 1, c, nil); got.err != nil || got.status != status {
 				t.Errorf("Generate = %d, %v, want the service's own %d", got.status, got.err, status)
 			}
 		}
 	})
 }
 
-// A service crashes before or after it has executed a booking, or in the middle of its answer. The
-// caller cannot tell these apart, so none may be called not run, and no half of an answer whole.
-func TestPlainServiceThatFailsMayHaveRun(t *testing.T) {
+// A service crashes before or after executing a booking, or during its answer. The caller cannot tell
+// which, so none may be reported as not run, and no truncated answer as complete.
+func TestPlainServiceFailureMayHaveRun(t *testing.T) {
 	faults := map[string]struct {
 		arm      func(s *plain.Service)
 		executed int
@@ -72,8 +72,8 @@
 				s.Slow(time.Second)
 				client := serve(t, s)
 				fault.arm(s)
-				got := generate(soon(t), client, 1, booking(), nil)
-				check(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
+				got := generate(testContext(t), client, 1, booking(), nil)
+				checkRefusal(t, "Generate", got.err, refuse.Crashed, verd.MayHaveRun)
 				if got.status != 0 {
 					t.Errorf("head was called with %d before the answer was whole", got.status)
 				}
@@ -85,18 +85,18 @@
 	}
 }
 
-// canned answers the first request of each connection with the same bytes, and then closes it.
-func canned(t *testing.T, answer string) engine.Engine {
+// newCannedClient returns a client whose connections answer their first request with answer and then close.
+func newCannedClient(t *testing.T, answer string) engine.Engine {
 	client := engine.NewEngine(addr, func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
-		go reciteTo(far, answer)
+		go writeAnswer(far, answer)
 		return near, nil
 	})
 	t.Cleanup(client.Close)
 	return client
 }
 
-func reciteTo(conn net.Conn, answer string) {
+func writeAnswer(conn net.Conn, answer string) {
 	defer conn.Close()
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -106,7 +106,7 @@
 	io.WriteString(conn, answer)
 }
 
-// chunks returns parts in HTTP's chunked coding; an empty part ends it.
+// chunks encodes parts in HTTP chunked encoding; an empty part ends the body.
 func chunks(parts ...string) string {
 	var b strings.Builder
 	for _, part := range parts {
@@ -115,10 +115,10 @@
 	return b.String()
 }
 
-// An answer breaks off in one of the ways in which HTTP lets it look finished, or
-// belongs to someone else. None of them may reach a caller as its whole answer. The test of
-// allocations shows that such a stream is taken where it has its end mark.
-func TestAnswersThatAreNotWhole(t *testing.T) {
+// An answer is truncated in a way that HTTP may take for its end, or belongs to another request.
+// None may be passed on as complete. TestAllocationsPerToken shows that a stream
+// of this form is accepted if it has its [DONE] event.
+func TestIncompleteAnswersAreRejected(t *testing.T) {
 	const (
 		head   = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 		stream = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -137,26 +137,26 @@
 		"stream that ends in half": stream + chunks("data: {}\n\n", "data: [DONE]", ""),
 		"stream given up":          stream + chunks("data: {\"error\":\"x\"}\n\n", "data: [DONE]\n\n", ""),
 	}
-	// Of the others, the connection itself broke or spoke no HTTP.
-	living := []string{"over the size limit", "neither length nor end", "another attempt's", "another's refusal", "protocol switch", "stream given up"}
+	// In the other cases the connection broke or the bytes were not valid HTTP.
+	wantCut := []string{"over the size limit", "neither length nor end", "another attempt's", "another's refusal", "protocol switch", "stream given up"}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
 			want := refuse.Crashed
-			if slices.Contains(living, name) {
+			if slices.Contains(wantCut, name) {
 				want = refuse.Cut
 			}
 			synctest.Test(t, func(t *testing.T) {
-				got := generate(soon(t), canned(t, answer), 1, ask(model, "p", 1), nil)
-				check(t, "Generate", got.err, want, verd.MayHaveRun)
+				got := generate(testContext(t), newCannedClient(t, answer), 1, newCall(model, "p", 1), nil)
+				checkRefusal(t, "Generate", got.err, want, verd.MayHaveRun)
 			})
 		})
 	}
 }
 
-func TestRequestsThatCannotBeFormed(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	client := engine.NewEngine(addr, memnet.NewNet(1).Dial(caller))
 	for _, c := range []call.Call{{Method: "GET", Path: "@other/"}, {Method: "G T", Path: "/"}, {Method: "GET", Path: ""}} {
-		got := generate(soon(t), client, 1, c, nil)
-		check(t, "Generate "+c.Method+" "+c.Path, got.err, refuse.BadRequest, verd.NotRun)
+		got := generate(testContext(t), client, 1, c, nil)
+		checkRefusal(t, "Generate "+c.Method+" "+c.Path, got.err, refuse.BadRequest, verd.NotRun)
 	}
 }
--- a/internal/engine/repeat_test.go
+++ b/internal/engine/repeat_test.go
@@ -18,13 +18,13 @@
 	"damaskreach/pkg/verd"
 )
 
-// breaker is a service that answers the first request of each connection,
-// executes the second, and closes the connection without a word.
-type breaker struct {
+// breakingService is a service that answers the first request of each connection,
+// executes the second, and closes the connection without an answer.
+type breakingService struct {
 	executed atomic.Int64
 }
 
-func (b *breaker) Run(ctx context.Context, listen func() (net.Listener, error)) error {
+func (b *breakingService) Run(ctx context.Context, listen func() (net.Listener, error)) error {
 	lis, err := listen()
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 	}
 }
 
-func (b *breaker) handle(ctx context.Context, conn net.Conn) {
+func (b *breakingService) handle(ctx context.Context, conn net.Conn) {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -56,9 +56,9 @@
 	}
 }
 
-// A kept connection breaks after a booking was sent over it and before the answer. The stock
-// transport sends the booking again without telling anyone, and two hearses come.
-func TestSilentRepeatIsImpossible(t *testing.T) {
+// A reused connection breaks after a booking was sent and before the answer. The standard
+// http.Transport silently resends the booking, which is then executed twice.
+func TestRequestsAreNeverRepeatedSilently(t *testing.T) {
 	calls := map[string]call.Call{
 		"POST with a key":      {Method: "POST", Path: "/book", Key: "k1", Body: []byte("hall 4")},
 		"POST without a body":  {Method: "POST", Path: "/book", Key: "k1"},
@@ -69,15 +69,15 @@
 	for name, c := range calls {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if got := twiceOverStock(t, c); got != 3 {
+				if got := sendTwiceOverStock(t, c); got != 3 {
 					t.Errorf("stock transport: %d executions of 2 requests, want 3; this test no longer shows the fault", got)
 				}
 			})
 			synctest.Test(t, func(t *testing.T) {
-				upstream := &breaker{}
+				upstream := &breakingService{}
 				client := serve(t, upstream)
-				first := generate(soon(t), client, 1, c, nil)
-				second := generate(soon(t), client, 1, c, nil)
+				first := generate(testContext(t), client, 1, c, nil)
+				second := generate(testContext(t), client, 1, c, nil)
 				if got := upstream.executed.Load(); got != 2 {
 					t.Errorf("%d executions of 2 requests, want 2", got)
 				}
@@ -85,7 +85,7 @@
 					t.Errorf("first Generate = %v, want nil", first.err)
 				}
 				if second.err != nil {
-					check(t, "second Generate", second.err, refuse.Crashed, verd.MayHaveRun)
+					checkRefusal(t, "second Generate", second.err, refuse.Crashed, verd.MayHaveRun)
 				}
 				if alone := c.Once || len(c.Body) == 0; alone && second.err != nil {
 					t.Errorf("second Generate over a connection of its own = %v, want nil", second.err)
@@ -95,10 +95,10 @@
 	}
 }
 
-// twiceOverStock sends c twice by a stock transport and returns how often it was executed.
-func twiceOverStock(t *testing.T, c call.Call) int64 {
+// sendTwiceOverStock sends c twice over a standard http.Transport and returns the number of executions.
+func sendTwiceOverStock(t *testing.T, c call.Call) int64 {
 	network := memnet.NewNet(1)
-	upstream := &breaker{}
+	upstream := &breakingService{}
 	run(t, network, upstream)
 	stock := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return network.Dial(caller)(ctx, addr)
