--- a/internal/bench/home.go
+++ b/internal/bench/home.go
@@ -62,5 +62,5 @@
 	if why.Verdict == verd.NotRun {
 		return true
 	}
-	return !r.call.Once && r.first == 0
+	return !r.call.NonIdempotent && r.first == 0
 }
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -11,31 +11,31 @@
 
 const attemptMark = "."
 
-// Call is immutable; its With methods return changed copies.
+// Call is one request. It is immutable; its With methods return changed copies.
 type Call struct {
-	ID       string    `msgpack:"id,omitempty"`       // request id, unique per received request
-	Attempt  string    `msgpack:"attempt,omitempty"`  // attempt id, unique per dispatch; answers are matched by it
-	Tenant   string    `msgpack:"tenant,omitempty"`   // who asks
-	Adapter  string    `msgpack:"adapter,omitempty"`  // adapter name; empty for a plain service
-	Version  string    `msgpack:"version,omitempty"`  // adapter version, resolved by the entry node
-	Group    string    `msgpack:"group,omitempty"`    // upstream group that serves it
-	Key      string    `msgpack:"key,omitempty"`      // idempotency key; empty when none was given
-	Once     bool      `msgpack:"once,omitempty"`     // non-idempotent: at most one dispatch
-	Class    string    `msgpack:"class,omitempty"`    // traffic class, for metrics and fair shares
-	Priority int       `msgpack:"priority,omitempty"` // higher is more urgent
-	Deadline time.Time `msgpack:"deadline,omitempty"` // zero means none
-	Tokens   int       `msgpack:"tokens,omitempty"`   // answer tokens expected
-	Most     int       `msgpack:"most,omitempty"`     // answer tokens the caller allows at the most
-	Demand   float64   `msgpack:"demand,omitempty"`   // decayed count of requests for the model at its home; 0 where it is not known
-	Prefix   string    `msgpack:"prefix,omitempty"`   // hash of the prompt's opening, for prefix-cache affinity
-	Method   string    `msgpack:"method,omitempty"`   // HTTP method towards the upstream
-	Path     string    `msgpack:"path,omitempty"`     // HTTP path towards the upstream
-	Type     string    `msgpack:"type,omitempty"`     // content type of Body
-	Body     []byte    `msgpack:"body,omitempty"`     // body towards the upstream
-	Stream   bool      `msgpack:"stream,omitempty"`   // the caller asked for server-sent events
-	Sum      string    `msgpack:"sum,omitempty"`      // Print, kept where the body is left out
-	From     int       `msgpack:"from,omitempty"`     // token at which a resumed stream goes on
-	Alone    bool      `msgpack:"alone,omitempty"`    // a suspect, to be placed away from other requests
+	ID            string    `msgpack:"id,omitempty"`       // request id, unique per received request
+	Attempt       string    `msgpack:"attempt,omitempty"`  // attempt id, unique per dispatch; answers are matched by it
+	Tenant        string    `msgpack:"tenant,omitempty"`   // the caller
+	Adapter       string    `msgpack:"adapter,omitempty"`  // adapter name; empty for a plain service
+	Version       string    `msgpack:"version,omitempty"`  // adapter version, resolved by the entry node
+	Group         string    `msgpack:"group,omitempty"`    // upstream group that serves it
+	Key           string    `msgpack:"key,omitempty"`      // idempotency key; empty when none was given
+	NonIdempotent bool      `msgpack:"once,omitempty"`     // non-idempotent: at most one dispatch
+	Class         string    `msgpack:"class,omitempty"`    // traffic class, for metrics and fair shares
+	Priority      int       `msgpack:"priority,omitempty"` // higher is more urgent
+	Deadline      time.Time `msgpack:"deadline,omitempty"` // zero means none
+	Tokens        int       `msgpack:"tokens,omitempty"`   // answer tokens expected
+	Most          int       `msgpack:"most,omitempty"`     // answer tokens the caller allows at the most
+	Demand        float64   `msgpack:"demand,omitempty"`   // decayed count of requests for the model at its home; 0 where it is not known
+	Prefix        string    `msgpack:"prefix,omitempty"`   // hash of the prompt's opening, for prefix-cache affinity
+	Method        string    `msgpack:"method,omitempty"`   // HTTP method towards the upstream
+	Path          string    `msgpack:"path,omitempty"`     // HTTP path towards the upstream
+	Type          string    `msgpack:"type,omitempty"`     // content type of Body
+	Body          []byte    `msgpack:"body,omitempty"`     // body towards the upstream
+	Stream        bool      `msgpack:"stream,omitempty"`   // the caller asked for server-sent events
+	Sum           string    `msgpack:"sum,omitempty"`      // Fingerprint, kept where the body is left out
+	From          int       `msgpack:"from,omitempty"`     // token at which a resumed stream goes on
+	Suspect       bool      `msgpack:"alone,omitempty"`    // may crash its engine: placed away from other requests
 }
 
 // Model returns the adapter and version as engines name them.
@@ -48,8 +48,8 @@
 	return adapter + "@" + version
 }
 
-// Print returns a fingerprint of what the call asks, equal for a caller's repeats of it.
-func (c Call) Print() string {
+// Fingerprint returns a fingerprint of what the call asks, equal for a caller's repeats of it.
+func (c Call) Fingerprint() string {
 	if c.Sum != "" {
 		return c.Sum
 	}
@@ -64,7 +64,7 @@
 
 // WithSum returns a copy that keeps its fingerprint, so that it is computed once.
 func (c Call) WithSum() Call {
-	c.Sum = c.Print()
+	c.Sum = c.Fingerprint()
 	return c
 }
 
@@ -93,15 +93,15 @@
 	return c
 }
 
-// WithDemand returns a copy that tells the owner of the runner what the home has counted.
+// WithDemand returns a copy that carries the home's count to the owner of the runner.
 func (c Call) WithDemand(count float64) Call {
 	c.Demand = count
 	return c
 }
 
-// WithAlone returns a copy that is placed away from other requests where alone is set.
-func (c Call) WithAlone(alone bool) Call {
-	c.Alone = alone
+// WithSuspect returns a copy that is placed away from other requests if suspect is set.
+func (c Call) WithSuspect(suspect bool) Call {
+	c.Suspect = suspect
 	return c
 }
 
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -141,7 +141,7 @@
 // Begin claims the key of a request. It returns a function that ends the claim, where the request is the first with
 // its key and may be dispatched; or the first one's outcome; or a refusal.
 func (c *Claim) Begin(ctx context.Context, r call.Call) (end func(ctx context.Context, a *answer.Answer), prior *answer.Answer, err error) {
-	q := beginAsk{Key: rowKey(r), Print: r.Print(), Nonce: rand.Text(), Session: c.Self(), Once: r.Once}
+	q := beginAsk{Key: rowKey(r), Print: r.Fingerprint(), Nonce: rand.Text(), Session: c.Self(), Once: r.NonIdempotent}
 	said, err := c.askBegin(ctx, q)
 	if err != nil {
 		return nil, nil, c.refusal(q, err)
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -49,7 +49,7 @@
 			defer cancel()
 			db := rowdb.NewDB()
 			c := newClaim(ctx, db)
-			r := call.Call{Tenant: "parish", Key: "k", Once: true, Body: []byte("{}")}
+			r := call.Call{Tenant: "parish", Key: "k", NonIdempotent: true, Body: []byte("{}")}
 			if _, prior, err := c.Begin(ctx, r); prior != nil || err != nil {
 				t.Fatalf("first Begin = %v, %v, want the claim", prior, err)
 			}
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,4 +1,4 @@
-// Package digest holds what the owner of a runner tells other nodes about it.
+// Package digest defines the state of a runner that its owner reports to other nodes.
 package digest
 
 import (
@@ -23,9 +23,9 @@
 	Waiting  int      `msgpack:"waiting,omitempty"`  // requests queued at the owner
 	Resident []string `msgpack:"resident,omitempty"` // models loaded
 	Loading  []string `msgpack:"loading,omitempty"`  // models being loaded
-	Closed   bool     `msgpack:"closed,omitempty"`   // takes no new work: leaving, sick or handed over
+	Closed   bool     `msgpack:"closed,omitempty"`   // takes no new work: draining, unhealthy or handed over
 	Sick     bool     `msgpack:"sick,omitempty"`     // answers with errors or not at all
-	Stuck    bool     `msgpack:"stuck,omitempty"`    // can free no slot until something beside requests changes
+	Stuck    bool     `msgpack:"stuck,omitempty"`    // no slot becomes free when requests end
 	Demand   float64  `msgpack:"demand,omitempty"`   // only in a home's answer: decayed count of requests for the model asked about
 	Suspects int      `msgpack:"suspects,omitempty"` // requests that may crash it, running alone there or waiting to
 }
@@ -43,10 +43,10 @@
 	return Digest{Runner: d.Runner, Group: d.Group, Owner: d.Owner, Addr: d.Addr, Fence: d.Fence, Demand: demand}
 }
 
-// cheapShare is the change of Cheap, which decays all the time, that is worth a message.
+// cheapShare is the relative change of Cheap, which decays all the time, from which a digest is worth sending.
 const cheapShare = 0.2
 
-// Same reports whether two digests say the same, whatever their numbers.
+// Same reports whether two digests are equal but for Number and small changes of Cheap.
 func (d Digest) Same(other Digest) bool {
 	if math.Abs(d.Cheap-other.Cheap) > cheapShare*other.Cheap {
 		return false
@@ -65,12 +65,12 @@
 	return d.Same(other)
 }
 
-// full reports whether the batch has no place left.
+// full reports whether the batch has no room left.
 func (d Digest) full() bool {
 	return d.Running >= max(1, d.Batch)
 }
 
-// crowded reports whether no slot can be had for another model.
+// crowded reports whether no slot is free or can be freed for another model.
 func (d Digest) crowded() bool {
 	return d.Free == 0 && d.Idle == 0
 }
--- a/internal/edge/build.go
+++ b/internal/edge/build.go
@@ -51,7 +51,7 @@
 	e.pick.Slowdown = e.speeds.Slowdown
 	e.tenure.LocalRates, e.tenure.ExtraRows = usual.Rates, e.memoEdits
 	e.jitter = jitter.NewJitter()
-	e.giver = e.buildGiver(s)
+	e.loader = e.buildLoader(s)
 	e.quotas = &quotas.Quotas{Shards: limits.Shards, Held: e.tenure.LimitFence, Clock: e.Clock, Life: strconv.FormatUint(rand.Uint64(), 36)}
 	e.limits = &limits.Limits{Ask: e.charge, Log: e.Log}
 	e.reach = &reach.Reach{Open: e.Dial, Addrs: e.upstreamAddrs, Changed: e.reachabilityChanged, Log: e.Log}
@@ -60,7 +60,7 @@
 		s := e.Setup()
 		return s.Share, s.Extra, s.Window
 	}}
-	return e.buildDirect()
+	return e.buildProxy()
 }
 
 // buildUplink creates the client that sends requests to upstreams.
@@ -89,28 +89,28 @@
 		Table: e.withPassedRows(e.Table), Store: e.Table, ListFromPeers: e.rowsFromPeers, PeerTimeout: e.storePatience,
 		IP: s.IP, PeerAddr: s.Peers, CallerAddr: s.Callers, Centre: s.Centre, Cores: s.Cores,
 		OrderGap: func() time.Duration { return e.Setup().Turn }, Clock: e.Clock, RetryDelay: e.retryDelay,
-		Blocked: e.unreachable, ShouldRelease: e.shouldYield, LastOrder: e.lastOrder, PeerReaches: e.hostReaches,
+		Blocked: e.unreachable, ShouldRelease: e.shouldRelease, LastOrder: e.lastOrder, PeerReaches: e.hostReaches,
 		Engines: e.engines, Live: e.isAlive, ReadDelegated: e.readsDelegated, Publish: e.feeds.Keep,
 		Log: e.Log, Stats: e.Stats,
 	}
 }
 
-// buildGiver creates the component that sends engines their orders.
-func (e *Edge) buildGiver(s setup.Setup) *loader.Loader {
+// buildLoader creates the loader, which sends engines their orders.
+func (e *Edge) buildLoader(s setup.Setup) *loader.Loader {
 	return &loader.Loader{
 		SendOrder: e.sendOrder, FetchState: e.QueryState, Fence: e.tenure.Fence, OwnedEngines: e.tenure.OwnedEngines, View: e.intake.View,
 		Publish: e.applyStock, FetchMemo: e.readMemo,
 		Flow: flow.NewFlow(), Jitter: e.jitter, Ration: e.ration, DrainAnnounced: e.avoid.Leaving, UnusedAfter: e.unusedAfter, OtherModelLoads: e.modelLoads,
-		ModelLoadWindow: func() time.Duration { return e.Setup().Loads }, Holder: s.IP,
+		ModelLoadWindow: func() time.Duration { return e.Setup().Loads }, Owner: s.IP,
 		Log: e.Log, Stats: e.Stats,
 	}
 }
 
-// buildDirect creates the handler of callers' requests.
-func (e *Edge) buildDirect() *proxy.Proxy {
+// buildProxy creates the proxy, which handles callers' requests.
+func (e *Edge) buildProxy() *proxy.Proxy {
 	return &proxy.Proxy{
 		Decode: e.DecodeRequest, TeamHeaders: e.TeamHeaders, Headers: e.UpstreamHeaders, NotRun: e.NotRun, DecodeNotice: e.DecodeNotice, Send: e.uplink.Do,
-		CanLoad: e.hasOwner, Admit: e.admit, EndTurn: e.reportTurnEnd, Permit: e.permit, AnnounceLimit: e.tellLimit,
+		CanLoad: e.hasOwner, Admit: e.admit, EndTurn: e.reportTurnEnd, Permit: e.permit, AnnounceLimit: e.reportLimit,
 		Charge: e.limits.Charge, Use: e.trackUse,
 		StopsSoon: e.stopsSoon, Stopping: e.ending, WithDeadline: context.WithDeadline,
 		VersionGrace: func() time.Duration { return e.Setup().Version / 2 }, View: e.intake.View, ViewAge: e.readAge, StoreDown: e.intake.StoreDown,
--- a/internal/edge/cutoff_test.go
+++ b/internal/edge/cutoff_test.go
@@ -37,7 +37,7 @@
 	minInTimeShare = 0.9
 )
 
-// cutMode is how hosts have lost their route to the upstreams.
+// cutMode is how hosts are cut off from the upstreams.
 type cutMode string
 
 const (
--- a/internal/edge/detour.go
+++ b/internal/edge/detour.go
@@ -32,7 +32,7 @@
 // errNoDetour means that no other host is known to reach upstreams.
 var errNoDetour = merry.Sentinel("edge: no other host reaches upstreams")
 
-// connect opens a connection to an upstream, directly or, if that fails, through another host. A host may lose its route to upstreams while
+// connect opens a connection to an upstream, directly or, if that fails, through another host. A host may be cut off from upstreams while
 // callers still reach it; without a detour their requests would be refused.
 func (e *Edge) connect(ctx context.Context, addr string) (net.Conn, error) {
 	_, lost := e.reach.Unreachable(addr)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -79,7 +79,7 @@
 
 	intake         *intake.Intake
 	tenure         *tenure.Tenure
-	giver          *loader.Loader
+	loader         *loader.Loader
 	quotas         *quotas.Quotas
 	limits         *limits.Limits
 	mates          atomic.Pointer[mates.Mates]
@@ -144,7 +144,7 @@
 	go e.intake.RunConf(work)
 	go e.intake.RunTargets(work)
 	go e.tenure.Run(work)
-	go e.giver.Run(work)
+	go e.loader.Run(work)
 	go e.quotas.Run(work)
 	go e.runPeers(work, e.Setup())
 	go e.reach.Run(work)
--- a/internal/edge/memo.go
+++ b/internal/edge/memo.go
@@ -40,7 +40,7 @@
 		e.memoWriter.written = map[string]bool{}
 	}
 	var edits []rows.Row
-	for id, m := range e.giver.Memos() {
+	for id, m := range e.loader.Memos() {
 		if len(edits) < maxMemoEdits {
 			edits = append(edits, rows.Row{Key: memoPrefix + id, Value: m.Encode(), Rev: rows.AnyRev})
 			e.memoWriter.written[id] = true
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -71,7 +71,7 @@
 	})
 	peer.Answer(mesh, methodAdmit, func(ctx context.Context, _ string, w intent.Intent) (string, error) {
 		e.applyLimit(w)
-		return intent.EncodeError(e.giver.Admit(ctx, w)), nil
+		return intent.EncodeError(e.loader.Admit(ctx, w)), nil
 	})
 	peer.Answer(mesh, methodSpent, func(_ context.Context, _ string, s spent.Spent) (struct{}, error) {
 		e.endTurn(s)
@@ -136,7 +136,7 @@
 		e.speeds.SetReported(s.ID, s.EventInterval)
 	}
 	e.blame.AddBreaks(g.Breaks, now)
-	e.giver.RecordUsage(g.Usages, now)
+	e.loader.RecordUsage(g.Usages, now)
 }
 
 // applyStock applies the state of an engine that this host owns.
@@ -147,11 +147,11 @@
 	e.roster.UpdateStock(s)
 }
 
-// trackUse records use of an adapter until done is called. The engine's owner is told, so that it does not evict the adapter first.
+// trackUse records use of an adapter until done is called. The engine's owner learns of it, so that it does not evict the adapter.
 func (e *Edge) trackUse(id, adapter string) (done func()) {
 	e.activity.begin(id, adapter)
 	if adapter != "" && e.tenure.Owner(id) == e.Setup().IP {
-		e.giver.MarkUsed(id, []string{adapter}, time.Now())
+		e.loader.MarkUsed(id, []string{adapter}, time.Now())
 	}
 	return func() { e.activity.end(id, adapter) }
 }
@@ -181,7 +181,7 @@
 	}
 	w.Requester = e.Setup().IP
 	if owner == w.Requester {
-		return e.giver.Admit(ctx, w)
+		return e.loader.Admit(ctx, w)
 	}
 	mesh := e.mesh.Load()
 	if mesh == nil {
@@ -218,7 +218,7 @@
 
 // endTurn records the end of a turn, or of a request at a brittle upstream, that this host counts.
 func (e *Edge) endTurn(s spent.Spent) {
-	e.giver.EndTurn(s)
+	e.loader.EndTurn(s)
 	e.flight.Release(s.Engine, s.Turn, s.Away)
 }
 
@@ -238,7 +238,7 @@
 
 // charge asks the owner of a part of teams' limits to count a request.
 func (e *Edge) charge(ctx context.Context, c charge.Charge) (ruling.Ruling, error) {
-	owner := e.tenure.Owner(c.Part)
+	owner := e.tenure.Owner(c.Shard)
 	if owner == e.Setup().IP {
 		return e.quotas.Charge(c), nil
 	}
--- a/internal/edge/permit.go
+++ b/internal/edge/permit.go
@@ -10,8 +10,8 @@
 	"damaskreach/internal/ruling"
 )
 
-// tellLimitTimeout bounds reporting the end of an upstream's limit.
-const tellLimitTimeout = time.Second
+// reportLimitTimeout bounds reporting the end of an upstream's limit.
+const reportLimitTimeout = time.Second
 
 // permit asks the host that counts the requests for an upstream to count one. That host may know that the limit has ended.
 func (e *Edge) permit(ctx context.Context, w intent.Intent) error {
@@ -19,7 +19,7 @@
 	switch {
 	case err != nil:
 		return err
-	case !r.Counts:
+	case !r.Counted:
 		e.ration.Update(w.EngineID, 0, 0)
 		e.flight.Update(e.intake.View().Targets[w.EngineID], 0, 0)
 	case r.Units == 0:
@@ -28,10 +28,10 @@
 	return nil
 }
 
-// tellLimit tells the host that counts the requests for an upstream what this host knows of its limit: hosts that still consider it limited
-// learn from there that it is not.
-func (e *Edge) tellLimit(id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLimitTimeout)
+// reportLimit reports what this host knows of an upstream's limit to the host that counts its requests: hosts that still consider it
+// limited learn from there that it is not.
+func (e *Edge) reportLimit(id string) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportLimitTimeout)
 	defer cancel()
 	if _, err := e.askCounter(ctx, intent.Intent{EngineID: id, Background: true}); err != nil {
 		e.Log.Info("failed to report upstream's limit", zap.String("target", id), zap.Error(err))
@@ -62,13 +62,13 @@
 		return ruling.Ruling{}
 	}
 	if wait := e.flight.Acquire(t, w.Turn, w.MaxLoadWait); wait > 0 {
-		return ruling.Ruling{Counts: true, Wait: wait}
+		return ruling.Ruling{Counted: true, Wait: wait}
 	}
 	if wait := e.ration.Take(w.EngineID); wait > 0 {
 		e.flight.Release(w.EngineID, w.Turn, false)
-		return ruling.Ruling{Counts: true, Wait: wait}
+		return ruling.Ruling{Counted: true, Wait: wait}
 	}
-	return ruling.Ruling{Counts: true, Units: 1}
+	return ruling.Ruling{Counted: true, Units: 1}
 }
 
 // withLimit adds what this host knows of the upstream's limit, and of whether it is brittle.
--- a/internal/edge/reachability.go
+++ b/internal/edge/reachability.go
@@ -10,8 +10,8 @@
 	"damaskreach/internal/tunnel"
 )
 
-// yieldDelay is how long a host must have lost its route before it gives up its engines: others may not order them for some seconds then.
-const yieldDelay = 300 * time.Millisecond
+// releaseDelay is how long a host must be cut off from an engine before it releases it: after that, it gets no orders for seconds.
+const releaseDelay = 300 * time.Millisecond
 
 // noteSent records that an answer is awaited on a connection.
 func (e *Edge) noteSent(c net.Conn, addr string) {
@@ -23,17 +23,17 @@
 // noteReceived records that data came on a connection.
 func (e *Edge) noteReceived(c net.Conn, addr string) {
 	if _, tunneled := c.(*tunnel.Tunnel); !tunneled {
-		e.reach.Heard(addr)
+		e.reach.Received(addr)
 	}
 }
 
-// reachabilityChanged tells others at once that this host lost or regained its route to upstreams, and has its engines reviewed.
+// reachabilityChanged tells others at once that this host is cut off or no longer is, and has its engines reviewed.
 func (e *Edge) reachabilityChanged(lost bool) {
 	if m := e.mates.Load(); m != nil {
 		m.Nudge()
 	}
 	if lost {
-		time.AfterFunc(yieldDelay, e.tenure.ClaimSoon)
+		time.AfterFunc(releaseDelay, e.tenure.ClaimSoon)
 	} else {
 		e.tenure.ClaimSoon()
 	}
@@ -46,7 +46,7 @@
 	done, err := e.SendOrder(ctx, c)
 	e.lastOrders.Store(c.Target.ID, e.Clock()) // it may have been in flight until now
 	if done != effect.Unknown {
-		e.reach.Heard(c.Target.Addr)
+		e.reach.Received(c.Target.Addr)
 	}
 	return done, err
 }
@@ -68,15 +68,15 @@
 func (e *Edge) unreachableFor(id string) time.Duration {
 	t, isUpstream := e.intake.View().Targets[id]
 	if !isUpstream {
-		return 0 // a part of teams' limits, which needs no route to upstreams
+		return 0 // a shard of teams' limits, which needs no route to upstreams
 	}
 	return e.reach.Blocked(t.Addr)
 }
 
-// shouldYield reports whether this host should give up an engine: others reach upstreams, and its own route to it did not come back soon.
-func (e *Edge) shouldYield(id string) bool {
+// shouldRelease reports whether this host should release an engine: others reach upstreams, and this one has been cut off from it for long.
+func (e *Edge) shouldRelease(id string) bool {
 	m := e.mates.Load()
-	return m != nil && len(m.Connected()) > 0 && e.unreachableFor(id) >= yieldDelay
+	return m != nil && len(m.Connected()) > 0 && e.unreachableFor(id) >= releaseDelay
 }
 
 // hostReaches reports whether another host reaches upstreams, as far as it has reported.
--- a/internal/edge/report.go
+++ b/internal/edge/report.go
@@ -9,7 +9,7 @@
 	"damaskreach/internal/usage"
 )
 
-// selfReportInterval is how often the use of engines by this host's requests is reported to its own giver.
+// selfReportInterval is how often the use of engines by this host's requests is reported to its own loader.
 const selfReportInterval = 200 * time.Millisecond
 
 // reportToSelf does for the engines whose turns this host grants what messages do for those of other hosts.
@@ -17,7 +17,7 @@
 	for range ticker.Every(ctx, selfReportInterval) {
 		e.updateFallback()
 		ip := e.Setup().IP
-		e.giver.RecordUsage(e.engineUsages(ip, e.grantsTurns), time.Now())
+		e.loader.RecordUsage(e.engineUsages(ip, e.grantsTurns), time.Now())
 	}
 }
 
@@ -25,7 +25,7 @@
 func (e *Edge) ownStatus() (own status.Status, uses []usage.Usage, broke []string) {
 	own = status.Status{
 		Leaving: e.leaving.Load(), LeaseLapsed: e.tenure.LeaseLeft() <= 0, StoreDown: e.intake.StoreDown(), Isolated: e.reach.CutFor() > 0,
-		Requests: e.engineLoads(), PromptWaits: e.engineWaits(), ModelLoads: e.giver.LoadingModels(),
+		Requests: e.engineLoads(), PromptWaits: e.engineWaits(), ModelLoads: e.loader.LoadingModels(),
 	}
 	uses = e.engineUsages(e.Setup().IP, func(id string) bool { return !e.grantsTurns(id) })
 	return own, uses, e.blame.TakePending()
@@ -46,7 +46,7 @@
 func (e *Edge) engineWaits() map[string]int {
 	ms := map[string]int{}
 	now := time.Now()
-	for id, wait := range e.giver.QueueWaits(e.grantsTurns) {
+	for id, wait := range e.loader.QueueWaits(e.grantsTurns) {
 		e.pick.SetWait(id, wait, now)
 		if wait >= time.Millisecond {
 			ms[id] = int(wait.Milliseconds())
@@ -57,7 +57,7 @@
 
 // engineLoads returns the loads of engines whose turns this host grants, and records them for its own routing.
 func (e *Edge) engineLoads() map[string]int {
-	loads := e.giver.RunningRequests(e.grantsTurns)
+	loads := e.loader.RunningRequests(e.grantsTurns)
 	now := time.Now()
 	for id, n := range loads {
 		e.pick.SetReported(id, n, now)
--- a/internal/edge/rest_test.go
+++ b/internal/edge/rest_test.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// restNoticeTime, in synctest time, is how long after an answer that asks for rest a host may still send requests under way;
-	// maxRestRequests is how many may come from a host within the rest after that.
-	restNoticeTime  = 500 * time.Millisecond
-	maxRestRequests = 2
+	// pauseNoticeTime, in synctest time, is how long after an answer that asks for a pause a host may still send pending requests;
+	// maxPauseRequests is how many may come from a host within the pause after that.
+	pauseNoticeTime  = 500 * time.Millisecond
+	maxPauseRequests = 2
 )
 
-// maxDuringRest returns the most requests that an upstream got from one host while it rested from that host.
-func (p *teamFleet) maxDuringRest() (highest int) {
+// maxDuringPause returns the most requests that an upstream got from one host within a pause that it had asked that host for.
+func (p *teamFleet) maxDuringPause() (highest int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, first := range p.executions {
-		if !first.askedRest {
+		if !first.askedPause {
 			continue
 		}
 		n := 0
 		for _, r := range p.executions[i:] {
 			after := r.at.Sub(first.at)
-			if r.upstream == first.upstream && r.host == first.host && after >= restNoticeTime && after < restDuration {
+			if r.upstream == first.upstream && r.host == first.host && after >= pauseNoticeTime && after < pauseDuration {
 				n++
 			}
 		}
@@ -35,23 +35,23 @@
 	return highest
 }
 
-// wantRested checks that upstreams got the rest that they asked for.
-func (p *teamFleet) wantRested() {
+// wantPaused checks that upstreams got the pause that they asked for.
+func (p *teamFleet) wantPaused() {
 	p.t.Helper()
-	if got := p.maxDuringRest(); got > maxRestRequests {
-		p.t.Errorf("an upstream got %d requests from one host while it rested from that host, want %d at most", got, maxRestRequests)
+	if got := p.maxDuringPause(); got > maxPauseRequests {
+		p.t.Errorf("an upstream got %d requests from one host while it rested from that host, want %d at most", got, maxPauseRequests)
 	}
 }
 
-// Two of four upstreams reject every request for some seconds and say how long they want none. If hosts kept sending, requests would use up
-// their retries, and the upstreams would get no rest.
+// Two of four upstreams reject every request for some seconds and ask for a pause. If hosts kept sending, requests would use up
+// their retries, and the upstreams would get no pause.
 func TestUpstreamAskingForRestGetsIt(t *testing.T) {
 	forEachUpstreamKind(t, 200, func(t *testing.T, p *teamFleet, _ func()) {
 		p.setShedding("u0", "u1")
 		start := time.Now()
 		time.Sleep(6 * time.Second)
 		p.setShedding()
-		p.wantRested()
+		p.wantPaused()
 		p.wantNearlyAllServed(start, time.Now())
 		ended := time.Now()
 		time.Sleep(8 * time.Second)
@@ -61,13 +61,13 @@
 	})
 }
 
-// Every upstream rests. Callers must be refused at once, with a retry time at which one of them accepts requests again.
+// Every upstream has asked for a pause. Callers must be refused at once, with a retry time at which one of them accepts requests again.
 func TestCallersAreRefusedAtOnceWhenAllUpstreamsRest(t *testing.T) {
 	forEachUpstreamKind(t, 200, func(t *testing.T, p *teamFleet, _ func()) {
 		p.setShedding("u0", "u1", "u2", "u3")
 		start := time.Now()
 		time.Sleep(8 * time.Second)
-		p.wantRested()
+		p.wantPaused()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		late, latest := 0, time.Duration(0)
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -104,11 +104,11 @@
 		return &beyond
 	}
 	known, ok := e.intake.Marks()
-	age, heard := e.readers.Age(time.Now())
-	if !ok && !heard {
+	age, hasAge := e.readers.Age(time.Now())
+	if !ok && !hasAge {
 		return nil
 	}
-	if !ok || heard && age.Milliseconds() < known.Age {
+	if !ok || hasAge && age.Milliseconds() < known.Age {
 		known.Age = age.Milliseconds()
 	}
 	known.Fleet = e.tenure.NewestRev()
--- a/internal/edge/teams_test.go
+++ b/internal/edge/teams_test.go
@@ -36,9 +36,9 @@
 	headFrom     = "Fake-From" // host that sends it
 	headLimit    = "Fake-Most" // requests a second that the upstream accepts
 	headLeaving  = "Fake-Leaving"
-	// restDuration is how long upstreams that reject requests ask to rest.
-	restDuration = 3 * time.Second
-	headRest     = "Fake-Rest" // how long the upstream wants no requests
+	// pauseDuration is how long upstreams that reject requests ask for a pause.
+	pauseDuration = 3 * time.Second
+	headPause     = "Fake-Rest" // pause that the upstream asks for
 )
 
 // execution is one request as an upstream ran it.
@@ -51,7 +51,7 @@
 	host       string // that sent it
 	limitNamed bool   // in the answer
 	leaving    bool   // announced in the answer
-	askedRest  bool   // rejected with a time to rest
+	askedPause bool   // rejected with a pause
 }
 
 // callResult is the answer to one request.
@@ -146,7 +146,7 @@
 	e.UpstreamHeaders = func(id string, _ time.Duration, _ int, _ string) http.Header {
 		return http.Header{headFor: {id}, headFrom: {ip}}
 	}
-	e.NotRun = func(_ int, h http.Header) bool { return h.Get(headRest) != "" }
+	e.NotRun = func(_ int, h http.Header) bool { return h.Get(headPause) != "" }
 	e.DecodeNotice = decodeNotice
 	e.Matches = func(h http.Header, id string) bool { return h.Get(headID) == id }
 	dial := e.Dial
@@ -224,7 +224,7 @@
 // decodeNotice decodes what an upstream reports of itself.
 func decodeNotice(_ int, h http.Header) (n notice.Notice, err error) {
 	n.Leaving = h.Get(headLeaving) != ""
-	if text := h.Get(headRest); text != "" {
+	if text := h.Get(headPause); text != "" {
 		n.Rest, err = time.ParseDuration(text)
 		return n, err
 	}
@@ -247,7 +247,7 @@
 	limit, limited := p.selfLimits[to]
 	p.executions = append(p.executions, execution{
 		sent: p.sentAt[id], at: time.Now(), team: name, units: units, upstream: to, host: r.Header.Get(headFrom),
-		limitNamed: limited, leaving: p.leavingIDs[to], askedRest: p.sheddingIDs[to],
+		limitNamed: limited, leaving: p.leavingIDs[to], askedPause: p.sheddingIDs[to],
 	})
 	leaves, sheds, takes := p.leavingIDs[to], p.sheddingIDs[to], p.serviceTime
 	p.inFlight[to]++
@@ -262,7 +262,7 @@
 		w.Header().Set(headLeaving, "1")
 	}
 	if sheds {
-		w.Header().Set(headRest, restDuration.String())
+		w.Header().Set(headPause, pauseDuration.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/engine/cost_test.go
+++ b/internal/engine/cost_test.go
@@ -29,7 +29,7 @@
 func countAllocs(t *testing.T, tokens int) float64 {
 	client := newCannedClient(t, newStream(tokens))
 	c := newCall(model, "p", tokens)
-	c.Once = true
+	c.NonIdempotent = true
 	head := func(int, string) error { return nil }
 	return testing.AllocsPerRun(10, func() {
 		last := 0
--- a/internal/engine/faults_random_test.go
+++ b/internal/engine/faults_random_test.go
@@ -95,7 +95,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), patience)
 			defer cancel()
 			c := newCall(model, fmt.Sprintf("%d", i), 50)
-			c.Once = i%2 == 0
+			c.NonIdempotent = i%2 == 0
 			answers[i] = generate(ctx, client, 1, c, nil)
 		})
 	}
--- a/internal/engine/generate.go
+++ b/internal/engine/generate.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return refuse.NewRefusal(verd.NotRun, refuse.BadRequest, "forming a request to %s: %v", c.addr, err)
 	}
-	res, err := c.send(ctx, c.transport(input.Once, len(input.Body)), req)
+	res, err := c.send(ctx, c.transport(input.NonIdempotent, len(input.Body)), req)
 	if err != nil {
 		return err
 	}
--- a/internal/engine/plain_test.go
+++ b/internal/engine/plain_test.go
@@ -24,7 +24,7 @@
 
 func booking() call.Call {
 	return call.Call{
-		ID: "r1", Attempt: "a1", Key: "k1", Once: true, Method: "PUT", Path: "/halls/4%2Fb?status=202&day=a%20b",
+		ID: "r1", Attempt: "a1", Key: "k1", NonIdempotent: true, Method: "PUT", Path: "/halls/4%2Fb?status=202&day=a%20b",
 		Type: "text/plain", Body: []byte("from noon"),
 	}
 }
--- a/internal/engine/repeat_test.go
+++ b/internal/engine/repeat_test.go
@@ -64,7 +64,7 @@
 		"POST without a body":  {Method: "POST", Path: "/book", Key: "k1"},
 		"GET":                  {Method: "GET", Path: "/confirm"},
 		"GET with a body":      {Method: "GET", Path: "/confirm", Body: []byte("hall 4")},
-		"POST, non-idempotent": {Method: "POST", Path: "/book", Key: "k1", Body: []byte("hall 4"), Once: true},
+		"POST, non-idempotent": {Method: "POST", Path: "/book", Key: "k1", Body: []byte("hall 4"), NonIdempotent: true},
 	}
 	for name, c := range calls {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 				if second.err != nil {
 					checkRefusal(t, "second Generate", second.err, refuse.Crashed, verd.MayHaveRun)
 				}
-				if alone := c.Once || len(c.Body) == 0; alone && second.err != nil {
+				if alone := c.NonIdempotent || len(c.Body) == 0; alone && second.err != nil {
 					t.Errorf("second Generate over a connection of its own = %v, want nil", second.err)
 				}
 			})
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -23,7 +23,7 @@
 		return
 	}
 	s.keep = true
-	s.lasting = c.Once
+	s.lasting = c.NonIdempotent
 	refusal := e.attempts(ctx, c, s)
 	defer e.record(ctx, c, s, refusal, end)
 	e.finish(w, s, c, refusal)
@@ -50,7 +50,7 @@
 		}
 		return &a
 	}
-	if refusal.Verdict == verd.NotRun || !c.Once {
+	if refusal.Verdict == verd.NotRun || !c.NonIdempotent {
 		return nil
 	}
 	a := answer.NewRefused(refusal.WithRetry(0)) // what is said of it will not change
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -131,7 +131,7 @@
 	}
 	c.Class = h.Get(HeaderClass)
 	var refusal *refuse.Refusal
-	if c.Once, refusal = parseOnce(h.Get(HeaderOnce), c.Once); refusal != nil {
+	if c.NonIdempotent, refusal = parseOnce(h.Get(HeaderOnce), c.NonIdempotent); refusal != nil {
 		return c, refusal
 	}
 	if c.Priority, refusal = parsePriority(h.Get(HeaderPriority)); refusal != nil {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -35,13 +35,13 @@
 		return call.Call{}, refusal
 	}
 	c := call.Call{
-		Tenant: owner.Name,
-		Group:  g.Name,
-		Method: r.Method,
-		Path:   path,
-		Type:   r.Header.Get("Content-Type"),
-		Body:   body,
-		Once:   !safe(r.Method),
+		Tenant:        owner.Name,
+		Group:         g.Name,
+		Method:        r.Method,
+		Path:          path,
+		Type:          r.Header.Get("Content-Type"),
+		Body:          body,
+		NonIdempotent: !safe(r.Method),
 	}
 	c, refusal = withHeaders(c, r.Header)
 	return c.WithSum(), refusal
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -57,7 +57,7 @@
 // bound limits a call to its deadline. A keyed non-idempotent call goes on when its caller goes away: the caller will
 // ask again with the key, and only a finished call has an answer to give.
 func (e *Entry) bound(ctx context.Context, c call.Call) (context.Context, context.CancelFunc) {
-	if c.Once && c.Key != "" {
+	if c.NonIdempotent && c.Key != "" {
 		ctx = context.WithoutCancel(ctx)
 	}
 	if c.Deadline.IsZero() {
@@ -148,7 +148,7 @@
 		return false
 	case !retriable(refusal):
 		return false
-	case refusal.Verdict != verd.NotRun && c.Once:
+	case refusal.Verdict != verd.NotRun && c.NonIdempotent:
 		return false
 	case t.sink.started:
 		// A resume repeats no work, so that the budget need not bound it; a caller with half an answer cannot be told to
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -155,7 +155,7 @@
 		refusal := refuse.NewRefusal(verd.NotRun, refuse.Held, "the same request is in progress on a runner where this one failed; its outcome decides what follows")
 		return placeSaid{Refusal: refusal.WithRetry(twinRetry)}, nil
 	}
-	q.Call = q.Call.WithAlone(h.Alone(q.Call))
+	q.Call = q.Call.WithSuspect(h.Alone(q.Call))
 	said, err := h.choose(ctx, q)
 	if err == nil && len(said.lacking) > 0 && h.Look(ctx) {
 		said, err = h.choose(ctx, q)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -91,7 +91,7 @@
 		}
 		l.returnGrants(grants)
 		if !errors.Is(err, errNoAnswer) && !ticker.Sleep(ctx, retryInterval) || ctx.Err() != nil {
-			return nil, refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "no host can check the limit of team %s", t.Name).
+			return nil, refuse.NewRefusal(verd.NotRun, refuse.NoUpstream, "no host tells what is left of the limit of team %s", t.Name).
 				WithRetry(unavailableRetryAfter)
 		}
 	}
@@ -138,7 +138,7 @@
 // decides, and one of them gets all units. In any other order each could get a shard that the other one lacks. The units
 // beyond the burst of all shards are taken only from nearly full shards.
 func (l *Limits) acquireFromEach(ctx context.Context, list []charge.Charge, units float64) (grants []grant, wait time.Duration, err error) {
-	slices.SortFunc(list, func(a, b charge.Charge) int { return strings.Compare(a.Part, b.Part) })
+	slices.SortFunc(list, func(a, b charge.Charge) int { return strings.Compare(a.Shard, b.Shard) })
 	n := float64(len(list))
 	need := min(units, fullShare*n*list[0].Burst)
 	for _, c := range list {
@@ -160,14 +160,14 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	r, err := l.Ask(ctx, c)
-	if err == nil && r.Counts {
+	if err == nil && r.Counted {
 		return r, nil
 	}
 	l.cacheState(c, shardState{validUntil: time.Now().Add(retryInterval), noAnswer: true})
-	if l.shouldLog(c.Part, time.Now()) {
-		l.Log.Info("limit not counted", zap.String("part", c.Part), zap.String("team", c.Team), zap.Error(err))
+	if l.shouldLog(c.Shard, time.Now()) {
+		l.Log.Info("limit not counted", zap.String("part", c.Shard), zap.String("team", c.Team), zap.Error(err))
 	}
-	return ruling.Ruling{}, merry.Prependf(errNoAnswer, "%s: %v", c.Part, err)
+	return ruling.Ruling{}, merry.Prependf(errNoAnswer, "%s: %v", c.Shard, err)
 }
 
 // shouldLog limits the lines about a shard that doesn't answer: each request asks it, and the request's own line has the outcome.
@@ -188,7 +188,7 @@
 func (l *Limits) cachedState(c charge.Charge) (shardState, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f, ok := l.states[c.Part+c.Team]
+	f, ok := l.states[c.Shard+c.Team]
 	return f, ok && time.Now().Before(f.validUntil) && (f.noAnswer || c.Units >= f.units)
 }
 
@@ -199,7 +199,7 @@
 	if l.states == nil {
 		l.states = map[string]shardState{}
 	}
-	l.states[c.Part+c.Team] = f
+	l.states[c.Shard+c.Team] = f
 	return f
 }
 
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -33,7 +33,7 @@
 func (c *fakeHosts) ask(ctx context.Context, ch charge.Charge) (ruling.Ruling, error) {
 	c.mu.Lock()
 	c.asked++
-	gone, down := c.noHosts, c.down[ch.Part]
+	gone, down := c.noHosts, c.down[ch.Shard]
 	c.mu.Unlock()
 	if gone {
 		return ruling.Ruling{}, errors.New("no host")
@@ -48,19 +48,19 @@
 	if c.left == nil {
 		c.left = map[string]float64{}
 	}
-	if _, ok := c.left[ch.Part]; !ok {
-		c.left[ch.Part] = ch.Burst
+	if _, ok := c.left[ch.Shard]; !ok {
+		c.left[ch.Shard] = ch.Burst
 	}
 	if ch.Units < 0 {
-		c.left[ch.Part] -= ch.Units
-		return ruling.Ruling{Counts: true}, nil
+		c.left[ch.Shard] -= ch.Units
+		return ruling.Ruling{Counted: true}, nil
 	}
 	units := ch.Units
-	if units > c.left[ch.Part] {
+	if units > c.left[ch.Shard] {
 		units = 0
 	}
-	c.left[ch.Part] -= units
-	return ruling.Ruling{Counts: true, Units: units, Wait: 2 * time.Second, Life: "life", Taken: time.Hour}, nil
+	c.left[ch.Shard] -= units
+	return ruling.Ruling{Counted: true, Units: units, Wait: 2 * time.Second, Life: "life", Taken: time.Hour}, nil
 }
 
 func newLimits(c *fakeHosts) *limits.Limits {
@@ -216,14 +216,14 @@
 	for burst, want := range map[float64]int{1000: 2, 20000: 2, 30000: 3, 200000: 4} {
 		seen := map[string]bool{}
 		l := &limits.Limits{Log: zap.NewNop(), Ask: func(_ context.Context, c charge.Charge) (ruling.Ruling, error) {
-			seen[c.Part] = true
+			seen[c.Shard] = true
 			if got := c.Burst * float64(want); got != burst {
 				t.Errorf("burst %v: shards add up to %v", burst, got)
 			}
 			if burst < 20000 { // large requests need units of each shard
-				return ruling.Ruling{Counts: true, Units: c.Units}, nil
+				return ruling.Ruling{Counted: true, Units: c.Units}, nil
 			}
-			return ruling.Ruling{Counts: true, Wait: time.Second}, nil
+			return ruling.Ruling{Counted: true, Wait: time.Second}, nil
 		}}
 		l.Charge(t.Context(), team.Team{Name: "red", Tokens: true, Rate: burst, Burst: burst}, 1, 100)
 		if got := len(seen); got != want {
--- a/internal/limits/shards.go
+++ b/internal/limits/shards.go
@@ -38,7 +38,7 @@
 	var list []charge.Charge
 	for _, offset := range rand.Perm(n) {
 		c := charge.Charge{
-			Part: names[(first+offset)%shardCount], Team: t.Name, Version: version, Rate: t.Rate / float64(n), Burst: t.Burst / float64(n),
+			Shard: names[(first+offset)%shardCount], Team: t.Name, Version: version, Rate: t.Rate / float64(n), Burst: t.Burst / float64(n),
 		}
 		if f, known := l.cachedState(c); !known || !f.noAnswer {
 			list = append(list, c)
--- a/internal/loader/counts.go
+++ b/internal/loader/counts.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Memos returns, for each engine that this host manages, the state that is to survive the host.
+// Memos returns, for each engine that this host owns, the state that is to survive the host.
 func (l *Loader) Memos() map[string]memo.Memo {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loader/draining_test.go
+++ b/internal/loader/draining_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Hosts that do not know yet that an engine is draining still ask the host that manages it for turns.
+// Hosts that do not know yet that an engine is draining still ask its owner for turns.
 func TestDrainingEngineGrantsNoTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(4)
--- a/internal/loader/engine_test.go
+++ b/internal/loader/engine_test.go
@@ -241,7 +241,7 @@
 		Flow: flow.NewFlow(), Jitter: jitter.NewJitter(), Ration: e.ration,
 		DrainAnnounced:  func(target.Target) bool { return e.draining.Load() },
 		UnusedAfter:     func() time.Duration { return e.usageInterval * 5 / 2 },
-		ModelLoadWindow: func() time.Duration { return 5 * time.Second }, Holder: "h",
+		ModelLoadWindow: func() time.Duration { return 5 * time.Second }, Owner: "h",
 		OtherModelLoads: func() (int, time.Duration) { return 0, 0 },
 		Log:             zap.NewNop(),
 	}
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,4 +1,4 @@
-// Package loader loads and unloads adapters on the engines that this host manages, and admits prompts to them.
+// Package loader loads and unloads adapters on the engines that this host owns, and admits prompts to them.
 //
 // Every order carries the number of orders that the engine must have accepted before it, which determines exactly what the
 // engine holds by then. An engine accepts at most one order per number, so an unanswered order that arrives late cannot
@@ -35,12 +35,12 @@
 	maxQueuedLoads = 64
 )
 
-// Loader manages the engines of this host. It is safe for concurrent use; its fields are set before Run.
+// Loader sends the engines that this host owns their orders. It is safe for concurrent use; its fields are set before Run.
 type Loader struct {
 	SendOrder    func(ctx context.Context, c change.Change) (effect.Effect, error)
 	FetchState   func(ctx context.Context, c change.Change) (state.State, error) // of c only the target is used
 	Fence        func(id string) (int64, bool)                                   // fencing token of this host for an engine
-	OwnedEngines func() []string                                                 // engines that this host manages
+	OwnedEngines func() []string                                                 // engines that this host owns
 	View         func() view.View
 	Publish      func(s stock.Stock) // called with what an engine holds whenever that changes
 	// FetchMemo returns the memo of an engine that another host or an earlier process stored, if there is one.
@@ -61,7 +61,7 @@
 	UnusedAfter func() time.Duration
 	// ModelLoadWindow returns the period over which base model loads from the weight store are limited.
 	ModelLoadWindow func() time.Duration
-	Holder          string
+	Owner           string
 	Log             *zap.Logger
 	Stats           *stats.Stats
 
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -219,7 +219,7 @@
 	})
 }
 
-// An engine announces its drain to the host that manages it before its registration shows it; other hosts still ask for loads.
+// An engine announces its drain to its owner before its registration shows it; other hosts still ask for loads.
 func TestDrainingEngineGetsNoLoads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(4)
--- a/internal/loader/order.go
+++ b/internal/loader/order.go
@@ -44,7 +44,7 @@
 	if !ok {
 		return effect.Rejected
 	}
-	c.Target, c.Sequence, c.Owner, c.Fence = t, d.sequence, d.loader.Holder, fence
+	c.Target, c.Sequence, c.Owner, c.Fence = t, d.sequence, d.loader.Owner, fence
 	e, err := d.sendOnce(c)
 	if e == effect.Unknown {
 		d.loader.Log.Info("order unanswered", zap.String("target", d.id), zap.Bool("load", c.Load), zap.String("adapter", orderedName(c)),
--- a/internal/loader/prompts_test.go
+++ b/internal/loader/prompts_test.go
@@ -149,7 +149,7 @@
 	})
 }
 
-// The host that manages an engine is lost. The host that grants turns in its place counts the requests of all hosts and sends
+// The owner of an engine is lost. The host that grants turns in its place counts the requests of all hosts and sends
 // no orders.
 func TestTurnsAreGrantedForAnEngineOfAnotherHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/place/choice.go
+++ b/internal/place/choice.go
@@ -44,10 +44,10 @@
 		request:     c.Name(),
 		runner:      t.digest.Runner,
 		model:       modelOf(c),
-		fingerprint: c.Print(),
+		fingerprint: c.Fingerprint(),
 		chosenAt:    now,
 		probe:       probe,
-		suspect:     c.Alone,
+		suspect:     c.Suspect,
 	}
 	p.choiceCount++
 	if p.choiceCount%sweepInterval == 0 {
@@ -81,5 +81,5 @@
 }
 
 func abandonedRefusal() *refuse.Refusal {
-	return refuse.NewRefusal(verd.NotRun, refuse.Canceled, "the node that requested the choice is gone")
+	return refuse.NewRefusal(verd.NotRun, refuse.Canceled, "the node that asked for the choice is gone")
 }
--- a/internal/place/choose.go
+++ b/internal/place/choose.go
@@ -24,7 +24,7 @@
 	if t := p.duplicateRunner(c, open); t != nil {
 		return p.assign(now, c, t, "twin", "the same request is in progress there")
 	}
-	if c.Alone {
+	if c.Suspect {
 		return p.assign(now, c, fewestSuspects(open), "alone", "the request ran on an upstream that crashed")
 	}
 	if t := p.runnerToProbe(now, c, open); t != nil {
@@ -60,12 +60,12 @@
 // duplicateRunner returns the runner on which a copy of c is in flight, or nil. If copies ran on several runners at once, a
 // request that crashes its upstream would take several of them down.
 func (p *Place) duplicateRunner(c call.Call, open []*target) *target {
-	dup := p.duplicates[c.Print()]
+	dup := p.duplicates[c.Fingerprint()]
 	if dup == nil {
 		return nil
 	}
 	for _, t := range open {
-		if t.digest.Runner == dup.runner && (c.Alone || t.hasRoom(modelOf(c), p.tune.Queue)) {
+		if t.digest.Runner == dup.runner && (c.Suspect || t.hasRoom(modelOf(c), p.tune.Queue)) {
 			return t
 		}
 	}
@@ -75,7 +75,7 @@
 // runnerToProbe returns an unhealthy runner that is due for a probe, or nil.
 func (p *Place) runnerToProbe(now time.Time, c call.Call, open []*target) *target {
 	for _, t := range open {
-		if t.unhealthy() && t.health.probeDue(now, c.Once) {
+		if t.unhealthy() && t.health.probeDue(now, c.NonIdempotent) {
 			return t
 		}
 	}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -127,7 +127,7 @@
 		t.Errorf("runner while r1 is unhealthy: got %s, want %s", got, want)
 	}
 	once := newCall("b0", "red")
-	once.Once = true
+	once.NonIdempotent = true
 	if got, want := choose(t, p, at(2*time.Second), once), "r2"; got != want {
 		t.Errorf("runner of a call that may not be repeated: got %s, want %s", got, want)
 	}
--- a/internal/place/suspects.go
+++ b/internal/place/suspects.go
@@ -11,11 +11,11 @@
 // waits for that copy before it retries c elsewhere; otherwise copies of a request that crashes its upstream would reach
 // further runners before the crash is known.
 func (p *Place) CopyInFlight(c call.Call, avoid []string) bool {
-	if p.duplicates[c.Print()] == nil {
+	if p.duplicates[c.Fingerprint()] == nil {
 		return false
 	}
 	for _, chosen := range p.inFlight {
-		if chosen.fingerprint == c.Print() && chosen.request != c.Name() && slices.Contains(avoid, chosen.runner) {
+		if chosen.fingerprint == c.Fingerprint() && chosen.request != c.Name() && slices.Contains(avoid, chosen.runner) {
 			return true
 		}
 	}
--- a/internal/proxy/fake_test.go
+++ b/internal/proxy/fake_test.go
@@ -47,7 +47,7 @@
 	headNotRun    = "Fake-Not-Run"
 	headTarget    = "Fake-For"
 	headVersion   = "Fake-Version"
-	headRest      = "Fake-Rest" // how long the upstream wants no requests
+	headPause     = "Fake-Rest" // pause that the upstream asks for
 	headLimit     = "Fake-Most" // requests per second that the upstream accepts
 )
 
@@ -168,7 +168,7 @@
 
 // notice decodes an upstream's announcements.
 func (b *bench) notice(status int, h http.Header) (n notice.Notice, err error) {
-	if text := h.Get(headRest); text != "" {
+	if text := h.Get(headPause); text != "" {
 		n.Rest, err = time.ParseDuration(text)
 		return n, err
 	}
--- a/internal/proxy/notice_test.go
+++ b/internal/proxy/notice_test.go
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, route.Route{Kind: kinds.Once})
 		delete(b.view.Targets, "two")
-		b.setAnswers(answers(503, http.Header{headNotRun: {"1"}, headRest: {"3s"}}, "", nil), answers(200, nil, "", nil))
+		b.setAnswers(answers(503, http.Header{headNotRun: {"1"}, headPause: {"3s"}}, "", nil), answers(200, nil, "", nil))
 		for _, want := range []string{"3.00", "2.00"} {
 			rec, _ := b.call(nil)
 			if got := rec.Header().Get("Retry-After"); got != want || rec.Code != http.StatusServiceUnavailable {
--- a/internal/proxy/place.go
+++ b/internal/proxy/place.go
@@ -240,7 +240,7 @@
 func (p *Proxy) noTurn(j *job, t target.Target) *refuse.Refusal {
 	wait := max(defaultRetry, p.Pick.Wait(t.ID, time.Now()))
 	left := time.Until(j.sendDeadline()).Round(time.Millisecond)
-	return refuse.NewRefusal(j.verdict(), refuse.Overloaded, "no engine can take the prompt within %v", left).WithRetry(wait)
+	return refuse.NewRefusal(j.verdict(), refuse.Overloaded, "no turn for a prompt within %v", left).WithRetry(wait)
 }
 
 // usable reports whether an upstream that was chosen before a wait may still get new requests.
@@ -267,12 +267,12 @@
 		if !p.notLeaving(t) {
 			continue
 		}
-		if rest := p.Avoid.Pause(t.ID, time.Now()); shortest < 0 || rest < shortest {
-			shortest = rest
+		if pause := p.Avoid.Pause(t.ID, time.Now()); shortest < 0 || pause < shortest {
+			shortest = pause
 		}
 	}
 	if shortest > 0 {
-		return refuse.NewRefusal(j.verdict(), refuse.Overloaded, "the upstreams of %s asked for a pause of %v", j.group, shortest).
+		return refuse.NewRefusal(j.verdict(), refuse.Overloaded, "the upstreams of %s want no requests for %v", j.group, shortest).
 			WithRetry(max(defaultRetry, shortest))
 	}
 	return refuse.NewRefusal(j.verdict(), refuse.NoUpstream, "no upstream of %s is ready", j.group).WithRetry(defaultRetry)
@@ -280,7 +280,7 @@
 
 // hostStopping returns the refusal of a request whose host stops.
 func hostStopping(j *job) *refuse.Refusal {
-	return refuse.NewRefusal(j.verdict(), refuse.Leaving, "this host is stopping").WithRetry(otherHostRetry)
+	return refuse.NewRefusal(j.verdict(), refuse.Leaving, "this host ends").WithRetry(otherHostRetry)
 }
 
 // contextRefusal returns the refusal of a request whose caller left, whose time ran out, or whose host stops. It reads the
@@ -290,7 +290,7 @@
 	case errors.Is(cause, errHostStopping):
 		return hostStopping(j)
 	case errors.Is(cause, context.Canceled):
-		return refuse.NewRefusal(verd.MayHaveRun, refuse.Canceled, "the caller disconnected")
+		return refuse.NewRefusal(verd.MayHaveRun, refuse.Canceled, "the caller left")
 	}
 	return refuse.NewRefusal(j.verdict(), refuse.Deadline, "not answered within %v", time.Since(j.start).Round(time.Millisecond))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -192,7 +192,7 @@
 	}
 	j.fingerprint = blame.Fingerprint(j.req.Method, j.req.Host, j.req.URI, j.req.Adapter, string(j.req.Body))
 	if p.Blame.Blocked(j.fingerprint, time.Now()) {
-		return refuse.NewRefusal(verd.NotRun, refuse.Suspect, "upstreams broke off while they ran earlier attempts").WithRetry(suspectRetry)
+		return refuse.NewRefusal(verd.NotRun, refuse.Suspect, "upstreams broke off under earlier tries of it").WithRetry(suspectRetry)
 	}
 	return nil
 }
@@ -224,12 +224,12 @@
 	t, ok := rules.Holder(j.req.Key)
 	if age := p.ViewAge(); !ok && !j.route.Public && age > maxRulesAge {
 		return refuse.NewRefusal(verd.NotRun, refuse.NoUpstream,
-			"%v given; the route needs a key that a team held %v ago, in version %d", j.req.Key, age, rules.Version).
+			"%v that no team held %v ago, in version %d", j.req.Key, age, rules.Version).
 			WithRetry(minStoreDownRetry)
 	}
 	if !ok && !j.route.Public {
 		return refuse.NewRefusal(verd.NotRun, refuse.Unauthorized,
-			"%v given; the route needs a key that a team holds in version %d", j.req.Key, rules.Version)
+			"%v that no team holds in version %d", j.req.Key, rules.Version)
 	}
 	j.team = t
 	j.req.Header = p.TeamHeaders(j.req.Header, t.Name)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -74,7 +74,7 @@
 	if end != endCallerSlow {
 		p.recordBreak(j, t, end == endMoved)
 	}
-	j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "the stream from %s broke off", t.ID))
+	j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "the stream of %s broke off", t.ID))
 	if end == endMoved {
 		j.movedFrom = &t
 		return false
@@ -88,7 +88,7 @@
 
 // timeoutRefusal returns the refusal of a request whose time ran out in the middle of an upstream's stream.
 func timeoutRefusal(t target.Target) *refuse.Refusal {
-	return refuse.NewRefusal(verd.MayHaveRun, refuse.Deadline, "the stream from %s exceeded the request's time limit", t.ID)
+	return refuse.NewRefusal(verd.MayHaveRun, refuse.Deadline, "the stream of %s lasted longer than its caller waits", t.ID)
 }
 
 // copyEvents passes events to the caller until the stream ends; it returns nil if the stream is complete.
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -25,8 +25,8 @@
 	maxSends = 3
 	// maxAnswerBytes is the largest answer that is buffered.
 	maxAnswerBytes = 8 << 20
-	// brittleRest is the pause for a brittle upstream that rejected a request for lack of room: its rejections count per second.
-	brittleRest = time.Second
+	// brittlePause is the pause for a brittle upstream that rejected a request for lack of room: its rejections count per second.
+	brittlePause = time.Second
 )
 
 // serve sends a request to upstreams until it is answered or refused.
@@ -158,7 +158,7 @@
 func (p *Proxy) handleNotResumed(j *job, t target.Target, r resp.Resp) (done bool) {
 	p.countSend(t, "not-resumed")
 	p.Log.Info("stream not resumed", zap.String("request", j.req.ID), zap.String("target", t.ID), zap.Int("status", r.Status))
-	j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "%s could not continue the stream", t.ID))
+	j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "the stream could not go on at %s", t.ID))
 	if j.allowResend() {
 		return false
 	}
@@ -187,7 +187,7 @@
 	}
 	j.rejectedFull = r.Status == http.StatusServiceUnavailable
 	if j.rejectedFull && p.Flight.Brittle(t) {
-		p.Avoid.Record(t, notice.Notice{Rest: brittleRest}, now)
+		p.Avoid.Record(t, notice.Notice{Rest: brittlePause}, now)
 	}
 	p.countSend(t, "rejected")
 	p.Log.Info("rejected", zap.String("request", j.req.ID), zap.String("target", t.ID), zap.Int("status", r.Status),
@@ -204,7 +204,7 @@
 	if err != nil {
 		p.countSend(t, "cut")
 		p.Log.Info("answer cut", zap.String("request", j.req.ID), zap.String("target", t.ID), zap.Int("bytes", len(data)), zap.Error(err))
-		j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "the answer from %s broke off", t.ID))
+		j.recordFailure(t.ID, refuse.NewRefusal(verd.MayHaveRun, refuse.Cut, "the answer of %s broke off", t.ID))
 		j.upstreamFailed = true
 		if ctx.Err() == nil && j.mayRunAgain() {
 			return false
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -95,7 +95,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.Clock()
-	p := q.heldShard(c.Part)
+	p := q.heldShard(c.Shard)
 	if p == nil {
 		return ruling.Ruling{}
 	}
@@ -104,10 +104,10 @@
 		if c.Life == q.Life {
 			counter.bucket.Return(now, -c.Units, c.Taken)
 		}
-		return ruling.Ruling{Counts: true}
+		return ruling.Ruling{Counted: true}
 	}
 	taken, wait := counter.bucket.Take(now, c.Units, c.Over)
-	return ruling.Ruling{Counts: true, Units: taken, Wait: wait, Life: q.Life, Taken: now}
+	return ruling.Ruling{Counted: true, Units: taken, Wait: wait, Life: q.Life, Taken: now}
 }
 
 // countOf returns the count of a team, under the newest known version of its limit.
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -28,7 +28,7 @@
 }
 
 func newCharge(units float64) charge.Charge {
-	return charge.Charge{Part: "p", Team: "red", Version: 1, Rate: 10, Burst: 20, Units: units}
+	return charge.Charge{Shard: "p", Team: "red", Version: 1, Rate: 10, Burst: 20, Units: units}
 }
 
 // drain charges single units until one is refused and returns the number granted.
@@ -70,7 +70,7 @@
 	h.Charge(newCharge(1))
 	h.now += time.Minute
 	h.fence = 0
-	if r := h.Charge(newCharge(1)); r.Counts || r.Units > 0 {
+	if r := h.Charge(newCharge(1)); r.Counted || r.Units > 0 {
 		t.Errorf("without the shard: %+v, want that it does not count", r)
 	}
 	h.fence, h.since = 3, h.now
@@ -104,7 +104,7 @@
 	h.fence, h.now, h.since = 1, time.Hour, time.Hour
 	h.Charge(newCharge(1))
 	h.now += time.Minute
-	lowered := charge.Charge{Part: "p", Team: "red", Version: 2, Rate: 1, Burst: 2, Units: 2}
+	lowered := charge.Charge{Shard: "p", Team: "red", Version: 2, Rate: 1, Burst: 2, Units: 2}
 	if h.Charge(lowered).Units == 0 {
 		t.Error("refused within the lowered limit, want it granted")
 	}
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -250,8 +250,8 @@
 	r.path(addr).waitingSince.CompareAndSwap(0, time.Now().UnixNano())
 }
 
-// Heard records that something came from an upstream over a direct connection.
-func (r *Reach) Heard(addr string) {
+// Received records that something came from an upstream over a direct connection.
+func (r *Reach) Received(addr string) {
 	now, p := time.Now().UnixNano(), r.path(addr)
 	p.waitingSince.Store(0)
 	p.lastHeard.Store(now)
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -106,7 +106,7 @@
 			if _, err := r.Dial(t.Context(), addr); err == nil {
 				t.Errorf("Dial(%q) = nil, want an error", addr)
 			}
-			r.Heard(addr)
+			r.Received(addr)
 		}
 		time.Sleep(detectionTime)
 		if r.CutFor() == 0 {
@@ -229,7 +229,7 @@
 		failed := time.Now()
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			r.Heard("a:1")
+			r.Received("a:1")
 		}()
 		if r.IsToBlame("a:1", sent, failed, true) {
 			t.Error("IsToBlame() = true of an upstream that goes on, want false")
@@ -254,7 +254,7 @@
 		}
 		u.set(nil)
 		time.Sleep(detectionTime)
-		r.Heard("a:1")
+		r.Received("a:1")
 		if r.IsToBlame("a:1", sent, time.Now(), false) {
 			t.Error("IsToBlame() = true for a request sent before the host was cut off, want false")
 		}
--- a/internal/ruling/ruling.go
+++ b/internal/ruling/ruling.go
@@ -3,11 +3,11 @@
 
 import "time"
 
-// Ruling is immutable.
+// Ruling is the answer of the host that counts a shard of teams' limits, or an upstream's requests. It is immutable.
 type Ruling struct {
-	Counts bool          `msgpack:"c"`           // the host that was asked counts this part; else it has decided nothing
-	Units  float64       `msgpack:"u"`           // that were taken, with those over the burst
-	Wait   time.Duration `msgpack:"w,omitempty"` // until all are there, where they are not
-	Life   string        `msgpack:"l,omitempty"` // of the process that took the units
-	Taken  time.Duration `msgpack:"a,omitempty"` // when, by its clock
+	Counted bool          `msgpack:"c"`           // whether the host counts this; if not, the rest is unset
+	Units   float64       `msgpack:"u"`           // granted, with those over the burst
+	Wait    time.Duration `msgpack:"w,omitempty"` // until the units are available, if they are not
+	Life    string        `msgpack:"l,omitempty"` // ID of the process that granted the units
+	Taken   time.Duration `msgpack:"a,omitempty"` // when they were granted, by the clock of that process
 }
--- a/internal/suspct/suspct.go
+++ b/internal/suspct/suspct.go
@@ -68,7 +68,7 @@
 // key names a call's record: by its idempotency key, else by its fingerprint.
 func key(c call.Call) string {
 	if c.Key == "" {
-		return table.PrefixSuspect + c.Print()
+		return table.PrefixSuspect + c.Fingerprint()
 	}
 	sum := sha256.Sum256([]byte(c.Tenant + "\x00" + c.Key))
 	return table.PrefixSuspect + "key-" + hex.EncodeToString(sum[:16])
--- a/internal/tenure/check_test.go
+++ b/internal/tenure/check_test.go
@@ -68,12 +68,12 @@
 // A host holds more engines than a renewal can check: no claim may lapse before its turn to be checked.
 func TestManyClaimsAreCheckedInTime(t *testing.T) {
 	runManyClaims(t, func(s *scenario) {
-		before := s.holders()
+		before := s.owners()
 		for range 30 {
 			s.elapse(time.Second)
 			s.wantOwned("while nothing happens")
 		}
-		s.wantSameHolders(before)
+		s.wantSameOwners(before)
 		s.stopHost("10.0.0.1")
 		s.stopHost("10.0.0.2")
 		s.elapse(maxTakeover + 10*time.Second)
--- a/internal/tenure/era_test.go
+++ b/internal/tenure/era_test.go
@@ -89,25 +89,25 @@
 		}
 	}
 	for _, id := range ids {
-		if s.holder(id, s.allHosts()...) == "" {
+		if s.owner(id, s.allHosts()...) == "" {
 			s.t.Errorf("%s has no owner %s", id, when)
 		}
 	}
 }
 
-// holders returns which host holds each engine.
-func (s *scenario) holders() map[string]string {
+// owners returns which host owns each engine.
+func (s *scenario) owners() map[string]string {
 	held := map[string]string{}
 	for id := range s.engines {
-		held[id] = s.holder(id, s.allHosts()...)
+		held[id] = s.owner(id, s.allHosts()...)
 	}
 	return held
 }
 
-// wantSameHolders fails where engines that had an owner have another one, or none.
-func (s *scenario) wantSameHolders(before map[string]string) {
+// wantSameOwners fails where engines that had an owner have another one, or none.
+func (s *scenario) wantSameOwners(before map[string]string) {
 	s.t.Helper()
-	for id, got := range s.holders() {
+	for id, got := range s.owners() {
 		if want := before[id]; want != "" && got != want {
 			s.t.Errorf("owner of %s = %q, want %q as before", id, got, want)
 		}
@@ -127,7 +127,7 @@
 	s.addEngine(id)
 	for range 200 {
 		s.elapse(50 * time.Millisecond)
-		if ip := s.holder(id, s.allHosts()...); ip != "" {
+		if ip := s.owner(id, s.allHosts()...); ip != "" {
 			return s.hosts[ip]
 		}
 	}
@@ -139,12 +139,12 @@
 // and after the lease no engine would have an owner.
 func TestHostsKeepEnginesAfterStoreRestore(t *testing.T) {
 	runScenario(t, func(s *scenario) {
-		before := s.holders()
+		before := s.owners()
 		s.restoreStore(outage, lostHistory)
 		for range 20 {
 			s.elapse(time.Second)
 			s.wantOwned("after the restore")
-			s.wantSameHolders(before)
+			s.wantSameOwners(before)
 		}
 	})
 }
@@ -169,19 +169,19 @@
 func TestLostTakeoverKeepsEngines(t *testing.T) {
 	runScenario(t, func(s *scenario) {
 		s.hosts["10.0.0.1"].setCut(true)
-		for before, i := s.holders(), 0; i < 600; i++ {
+		for before, i := s.owners(), 0; i < 600; i++ {
 			s.elapse(50 * time.Millisecond)
-			taken := s.holders()
+			taken := s.owners()
 			if taken["e0"] != "" && taken["e0"] != "10.0.0.1" && s.failedOver(before, taken) {
 				break
 			}
 		}
 		s.hosts["10.0.0.1"].setCut(false)
 		s.elapse(time.Second)
-		before := s.holders()
+		before := s.owners()
 		s.restoreStore(outage, lostHistory)
 		s.elapse(5 * time.Second)
-		s.wantSameHolders(before)
+		s.wantSameOwners(before)
 		s.elapse(30 * time.Second)
 		s.wantOwned("in the end")
 	})
@@ -211,10 +211,10 @@
 				break
 			}
 		}
-		before := s.holders()
+		before := s.owners()
 		s.restoreStore(outage, time.Since(begun)+time.Second)
 		s.elapse(4 * time.Second)
-		s.wantSameHolders(before)
+		s.wantSameOwners(before)
 		s.elapse(maxTakeover)
 		s.wantOwned("in the end")
 	})
--- a/internal/tenure/random_test.go
+++ b/internal/tenure/random_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Under random faults and repeated restores, no engine has two holders with one fence, a lower fence after a higher one, or two holders
-// within the gap between orders; in the end each has a holder.
-func TestNoEngineHasTwoHoldersUnderFaults(t *testing.T) {
+// Under random faults and repeated restores, no engine has two owners with one fence, a lower fence after a higher one, or two holders
+// within the gap between orders; in the end each has an owner.
+func TestNoEngineHasTwoOwnersUnderFaults(t *testing.T) {
 	for seed := range *scenarioCount {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runScenario(t, func(s *scenario) {
--- a/internal/tenure/release_test.go
+++ b/internal/tenure/release_test.go
@@ -50,8 +50,8 @@
 		}
 		s.watch(within-notifyDelay, hosts...)
 		for id := range s.engines {
-			if s.holder(id, hosts[1:]...) == "" {
-				t.Errorf("no host that reaches %s orders it %v after its owner lost it", id, within)
+			if s.owner(id, hosts[1:]...) == "" {
+				t.Errorf("no host that reaches %s owns it %v after its owner lost it", id, within)
 			}
 		}
 		blocked.Store(false)
@@ -82,7 +82,7 @@
 	})
 }
 
-// The process restarts just after it has released its engines, and reaches them again: it must not order them before others may.
+// The process restarts just after it has released its engines, and reaches them again: it must not own them again before others may.
 func TestRestartedHostDoesNotOrderReleasedEngines(t *testing.T) {
 	runBlocked(t, lateHandoverTimeout+lateHandoverTimeout, func(s *site, h *host, blocked *atomic.Bool) *host {
 		s.watch(time.Second, h)
--- a/internal/tenure/restore_test.go
+++ b/internal/tenure/restore_test.go
@@ -71,7 +71,7 @@
 		a, b, c := s.startHost("10.0.0.1"), s.startHost("10.0.0.2"), s.startHost("10.0.0.3")
 		time.Sleep(4 * time.Second)
 		for id := range s.engines {
-			if s.holder(id, a, b, c) == "" {
+			if s.owner(id, a, b, c) == "" {
 				t.Errorf("%s has no owner after 4 s", id)
 			}
 		}
@@ -99,7 +99,7 @@
 		s := newSite(t, "part")
 		a, b := s.startHost("10.0.0.1"), s.startHost("10.0.0.2")
 		time.Sleep(6 * time.Second)
-		if s.holder("part", a) == "" {
+		if s.owner("part", a) == "" {
 			a, b = b, a
 		}
 		a.setCut(true)
--- a/internal/tenure/site_test.go
+++ b/internal/tenure/site_test.go
@@ -227,7 +227,7 @@
 	return at, ok
 }
 
-func (s *site) holder(id string, hosts ...*host) string {
+func (s *site) owner(id string, hosts ...*host) string {
 	for _, h := range hosts {
 		if _, ok := h.Fence(id); ok {
 			return h.IP
--- a/internal/tenure/spread_test.go
+++ b/internal/tenure/spread_test.go
@@ -22,20 +22,20 @@
 			hosts = append(hosts, s.startHost(fmt.Sprint("10.0.0.", i+1)))
 		}
 		time.Sleep(10 * time.Second)
-		holders, largest, total := 0, 0, 0
+		owners, largest, total := 0, 0, 0
 		for _, h := range hosts {
 			n := len(h.OwnedEngines())
 			total += n
 			largest = max(largest, n)
 			if n > 0 {
-				holders++
+				owners++
 			}
 		}
 		if total != len(ids) {
 			t.Errorf("engines with an owner = %d, want %d", total, len(ids))
 		}
-		if minHolders := 12; holders < minHolders {
-			t.Errorf("hosts that hold engines = %d, want at least %d", holders, minHolders)
+		if minOwners := 12; owners < minOwners {
+			t.Errorf("hosts that hold engines = %d, want at least %d", owners, minOwners)
 		}
 		if want := 14; largest > want {
 			t.Errorf("engines of one host = %d, want at most %d", largest, want)
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -16,7 +16,7 @@
 		a, b, c := s.startHost("10.0.0.1"), s.startHost("10.0.0.2"), s.startHost("10.0.0.3")
 		time.Sleep(4 * time.Second)
 		for id := range s.engines {
-			if s.holder(id, a, b, c) == "" {
+			if s.owner(id, a, b, c) == "" {
 				t.Errorf("%s has no owner after 4 s", id)
 			}
 		}
@@ -34,7 +34,7 @@
 		a.setCut(true)
 		s.watch(tenure.Lease+14*time.Second, a, b)
 		for id := range s.engines {
-			if got, want := s.holder(id, a, b), "10.0.0.2"; got != want {
+			if got, want := s.owner(id, a, b), "10.0.0.2"; got != want {
 				t.Errorf("owner of %s = %q, want %q", id, got, want)
 			}
 		}
@@ -76,7 +76,7 @@
 		a, b = s.startHost("10.0.0.1"), s.startHost("10.0.0.2")
 		time.Sleep(1500 * time.Millisecond)
 		for id := range s.engines {
-			if s.holder(id, a, b) == "" {
+			if s.owner(id, a, b) == "" {
 				t.Errorf("%s has no owner 1.5 s after the restart", id)
 			}
 		}
@@ -96,7 +96,7 @@
 		a.mu.Unlock()
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if s.holder("e1", a) == "" {
+			if s.owner("e1", a) == "" {
 				t.Fatal("the engine has no owner, want the lease kept")
 			}
 		}
--- a/internal/trace/make.go
+++ b/internal/trace/make.go
@@ -148,7 +148,7 @@
 	for at := m.gap(m.site.services); at < m.span; at += m.gap(m.site.services) {
 		m.out = append(m.out, arrival{
 			At:     at,
-			Call:   call.Call{Tenant: "desk", Group: m.site.plain, Once: true, Tokens: 1, Most: 1},
+			Call:   call.Call{Tenant: "desk", Group: m.site.plain, NonIdempotent: true, Tokens: 1, Most: 1},
 			Tokens: 1,
 			Prompt: 30 * time.Millisecond,
 		})
