--- a/internal/edge/conffetch.go
+++ b/internal/edge/conffetch.go
@@ -131,7 +131,7 @@
 		}
 		e.Log.Info("configuration fetched from another host", zap.String("host", from), zap.Int64("after", after), zap.Int64("revision", rev),
 			zap.Int("bytes", valueBytes(list)), zap.Duration("took", time.Since(start)))
-		e.feeds.Take(feed.Feed{Prefix: f.Prefix, After: after, Rev: rev, Rows: list})
+		e.feeds.Receive(feed.Feed{Prefix: f.Prefix, After: after, Rev: rev, Rows: list})
 		e.confFetch.noteFetched(rev)
 		e.intake.WakeConf()
 	}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -119,7 +119,7 @@
 // applyGossip applies a message from another host.
 func (e *Edge) applyGossip(ctx context.Context, g gossip.Gossip) {
 	now := time.Now()
-	e.feeds.Hear(g.IP, g.KnownFeeds, g.Feeds)
+	e.feeds.Update(g.IP, g.KnownFeeds, g.Feeds)
 	e.fetchNamed(ctx, g)
 	e.applyMarks(g, now)
 	for _, b := range g.Hosts {
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -244,7 +244,7 @@
 func (e *Edge) addFeeds(to string, g *gossip.Gossip) {
 	g.ReadMarks, g.KnownFeeds = e.readMarks(), e.feeds.Known()
 	if e.tenure.Host(to).Centre == e.Setup().Centre || e.isReader() {
-		g.Feeds, g.LargeFeeds = e.splitNamed(e.feeds.For(to))
+		g.Feeds, g.LargeFeeds = e.splitNamed(e.feeds.Unseen(to))
 	}
 	for _, f := range g.Feeds {
 		e.Stats.Add(stats.RowsTold, int64(valueBytes(f.Rows)), "rows", f.Prefix)
--- a/internal/feeds/feeds.go
+++ b/internal/feeds/feeds.go
@@ -1,8 +1,8 @@
-// Package feeds passes changes of the store's rows from the host that reads them in a data centre to its other hosts.
+// Package feeds forwards row changes from the host that reads the store in a data centre to its other hosts.
 //
-// Were these only told that there is something newer, each would read it for itself, and every change would cost as many calls as
-// there are hosts: the calls of a site would grow with the square of what it has, and the store refuses those beyond its rate.
-// Only changes that matter to others are passed on; a host that has missed some, or that nobody reads for, reads the store.
+// If the other hosts only learned that something changed, each would read the store itself: calls would grow with the square of
+// the site's size, and the store refuses calls beyond its rate limit. Only changes that other hosts need are forwarded; a host
+// that has missed some, or for which no host reads, reads the store itself.
 package feeds
 
 import (
@@ -14,24 +14,24 @@
 	"damaskreach/internal/rows"
 )
 
-// mostRows is how many rows under a prefix are kept for hosts that have not seen them: as many as a large site claims engines within the time
-// that news takes to all hosts, at some hundred bytes each. Of the configuration the newest row alone is kept.
-const mostRows = 2000
+// maxRows limits the rows kept per prefix for hosts that have not seen them: as many engines as a large site claims while a change
+// reaches all hosts, at a few hundred bytes each. Of the configuration, only the latest row is kept.
+const maxRows = 2000
 
-// Feeds may be used from several goroutines.
+// Feeds holds row changes to forward to other hosts and those received from them. It is safe for concurrent use.
 type Feeds struct {
-	mu    sync.Mutex
-	kept  map[string]feed.Feed            // what this host has read or heard of, by prefix
-	heard map[string]feed.Feed            // what it heard of and has not taken yet
-	known map[string]map[string]feed.Feed // how far other hosts have read, by host and prefix
+	mu       sync.Mutex
+	kept     map[string]feed.Feed            // changes read or received by this host, by prefix
+	received map[string]feed.Feed            // received but not yet returned by Tail
+	known    map[string]map[string]feed.Feed // revisions that other hosts have read, by host and prefix
 }
 
-// NewFeeds returns feeds that know of nothing.
+// NewFeeds returns empty Feeds.
 func NewFeeds() *Feeds {
-	return &Feeds{kept: map[string]feed.Feed{}, heard: map[string]feed.Feed{}, known: map[string]map[string]feed.Feed{}}
+	return &Feeds{kept: map[string]feed.Feed{}, received: map[string]feed.Feed{}, known: map[string]map[string]feed.Feed{}}
 }
 
-// Keep takes the rows that matter to others among those that changed after a revision, feed.Whole or feed.Start, up to another.
+// Keep adds the rows to forward that changed after one revision (or feed.Whole, feed.Start) up to another.
 func (f *Feeds) Keep(prefix string, after, rev int64, list []rows.Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,7 +39,7 @@
 	if after == feed.Start {
 		old = feed.Feed{Rev: rev}
 	} else if after == feed.Whole || !ok || old.Rev != after || rows.CompareEras(after, rev) != 0 {
-		// What a host knows of an era is gone with it: another host may know what this one never did, and would keep it.
+		// Changes of an earlier era are dropped: another host may hold rows of it that this one never saw, and would keep them.
 		f.kept[prefix] = feed.Feed{Prefix: prefix, After: rev, Rev: rev}
 		return
 	}
@@ -54,8 +54,8 @@
 		}
 	}
 	next.Rows = append(next.Rows, list...)
-	if over := len(next.Rows) - mostRows; over > 0 {
-		// Those of a list come by their keys: dropped like that, newer changes than the one that is told would be missing.
+	if over := len(next.Rows) - maxRows; over > 0 {
+		// A list is ordered by key. Without sorting by revision, changes newer than next.After could be dropped.
 		slices.SortStableFunc(next.Rows, func(a, b rows.Row) int { return cmp.Compare(a.Rev, b.Rev) })
 		next.After = next.Rows[over-1].Rev
 		next.Rows = next.Rows[over:]
@@ -63,21 +63,21 @@
 	f.kept[prefix] = next
 }
 
-// Tail returns what was heard of rows under a prefix that changed after a revision; ok is false where that is nothing new, or not
-// all of it.
+// Tail returns and removes the received rows under a prefix that changed after a revision; ok is false if there are none or
+// some are missing.
 func (f *Feeds) Tail(prefix string, after int64) (list []rows.Row, rev int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	heard, known := f.heard[prefix]
-	if !known || heard.After > after || heard.Rev <= after {
+	tail, known := f.received[prefix]
+	if !known || tail.After > after || tail.Rev <= after {
 		return nil, 0, false
 	}
-	delete(f.heard, prefix)
-	return since(heard.Rows, after), heard.Rev, true
+	delete(f.received, prefix)
+	return changedAfter(tail.Rows, after), tail.Rev, true
 }
 
-// since returns the rows that changed after a revision.
-func since(list []rows.Row, after int64) []rows.Row {
+// changedAfter returns the rows that changed after a revision.
+func changedAfter(list []rows.Row, after int64) []rows.Row {
 	var newer []rows.Row
 	for _, row := range list {
 		if row.Rev > after {
@@ -87,7 +87,7 @@
 	return newer
 }
 
-// Known returns how far this host knows the rows under each prefix.
+// Known returns the revision up to which this host knows the rows, for each prefix.
 func (f *Feeds) Known() []feed.Feed {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,22 +98,22 @@
 	return list
 }
 
-// Hear takes how far another host knows the rows, and what it passes on.
-func (f *Feeds) Hear(host string, known, passed []feed.Feed) {
+// Update records the revisions that another host knows and receives the changes that it forwards.
+func (f *Feeds) Update(host string, known, forwarded []feed.Feed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	far := make(map[string]feed.Feed, len(known))
+	revs := make(map[string]feed.Feed, len(known))
 	for _, k := range known {
-		far[k.Prefix] = k
+		revs[k.Prefix] = k
 	}
-	f.known[host] = far
-	for _, p := range passed {
-		f.take(p)
+	f.known[host] = revs
+	for _, p := range forwarded {
+		f.receive(p)
 	}
 }
 
-// For returns what a host has not seen yet of what this one knows.
-func (f *Feeds) For(host string) []feed.Feed {
+// Unseen returns the changes that this host knows and another host has not seen.
+func (f *Feeds) Unseen(host string) []feed.Feed {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []feed.Feed
@@ -125,7 +125,7 @@
 	return list
 }
 
-// Since returns what this host knows of rows under a prefix beyond a revision; ok is false where that is nothing, or not all.
+// Since returns the known changes under a prefix after a revision; ok is false if there are none or some are missing.
 func (f *Feeds) Since(prefix string, after int64) (newer feed.Feed, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,24 +137,24 @@
 	if !known || after < kept.After || after >= kept.Rev {
 		return feed.Feed{}, false
 	}
-	newer = feed.Feed{Prefix: prefix, After: after, Rev: kept.Rev, Rows: since(kept.Rows, after)}
+	newer = feed.Feed{Prefix: prefix, After: after, Rev: kept.Rev, Rows: changedAfter(kept.Rows, after)}
 	return newer, len(newer.Rows) > 0
 }
 
-// Take takes rows that another host has passed on.
-func (f *Feeds) Take(passed feed.Feed) {
+// Receive stores changes that another host has forwarded, if they are newer than those received before.
+func (f *Feeds) Receive(forwarded feed.Feed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.take(passed)
+	f.receive(forwarded)
 }
 
-func (f *Feeds) take(passed feed.Feed) {
-	if passed.Rev > f.heard[passed.Prefix].Rev {
-		f.heard[passed.Prefix] = passed
+func (f *Feeds) receive(forwarded feed.Feed) {
+	if forwarded.Rev > f.received[forwarded.Prefix].Rev {
+		f.received[forwarded.Prefix] = forwarded
 	}
 }
 
-// Forget drops what is known of a host that is gone.
+// Forget drops the known revisions of hosts that are gone.
 func (f *Feeds) Forget(gone func(host string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,4 +1,4 @@
-// Package fetch gets rows from other hosts that are too large for one message, piece by piece.
+// Package fetch downloads rows that are too large for one message from other hosts, in chunks.
 package fetch
 
 import (
@@ -19,50 +19,50 @@
 )
 
 const (
-	// pieceFor bounds one question: a piece may wait behind others on a narrow link.
-	pieceFor = 600 * time.Millisecond
-	// queueFor is how long a host waits for others to be given to before it asks another host.
-	queueFor = 3 * time.Second
-	// mostSize bounds a parcel, in bytes: what came may be from a broken host.
-	mostSize = 64 << 20
+	// requestTimeout limits one request: a chunk may queue behind others on a slow link.
+	requestTimeout = 600 * time.Millisecond
+	// maxQueueWait is how long to wait while a host serves others before trying the next host.
+	maxQueueWait = 3 * time.Second
+	// maxSize limits a parcel, in bytes: the host that sends it may be faulty.
+	maxSize = 64 << 20
 )
 
-// ErrNone means that no host had the rows.
-var ErrNone = merry.Sentinel("fetch: no host has the rows")
+// ErrNotFound means that no host had the rows.
+var ErrNotFound = merry.Sentinel("fetch: no host has the rows")
 
-// Fetch may be used from several goroutines. Its fields are set before the first use.
+// Fetch downloads rows. It is safe for concurrent use; its fields are set before the first use.
 type Fetch struct {
 	Ask  func(ctx context.Context, to mate.Mate, q piece.Piece) (chunk.Chunk, error)
 	Past *past.Past
 	Log  *zap.Logger
 }
 
-// begun is a parcel of which a part has come. It goes on at another host that has the same one.
-type begun struct {
-	chunk.Chunk // as the newest answer has it
+// download is a partly received parcel. It resumes at another host that has the same parcel.
+type download struct {
+	chunk.Chunk // from the latest answer
 	data        []byte
 }
 
-// Rows asks hosts, one after the other, for rows under a prefix that changed after a revision, or all for feed.Whole. It returns them and up to which
-// revision they are known.
+// Rows tries hosts in turn for the rows under a prefix that changed after a revision, or all rows for feed.Whole. It returns
+// the rows and the revision up to which they are known.
 func (f *Fetch) Rows(ctx context.Context, hosts []mate.Mate, prefix string, after int64) (list []rows.Row, rev int64, err error) {
-	err = ErrNone
+	err = ErrNotFound
 	q := piece.Piece{Prefix: prefix, After: after, Bases: f.Past.Revs()}
-	var b begun
+	var b download
 	for _, from := range hosts {
-		if err = f.from(ctx, from, q, &b); err == nil {
-			list, err = f.open(b)
+		if err = f.fetchFrom(ctx, from, q, &b); err == nil {
+			list, err = f.decode(b)
 		}
 		if err == nil {
 			return list, b.Rev, nil
 		}
-		if errors.Is(err, ErrNone) {
+		if errors.Is(err, ErrNotFound) {
 			continue
 		}
-		f.Log.Info("rows not got from another host", zap.String("host", from.IP), zap.String("rows", prefix), zap.Int64("after", after),
+		f.Log.Info("fetching rows from another host failed", zap.String("host", from.IP), zap.String("rows", prefix), zap.Int64("after", after),
 			zap.Int("bytes", len(b.data)), zap.Int("size", b.Size), zap.Error(err))
 		if errors.Is(err, parcel.ErrDamaged) {
-			b, q.Bases = begun{}, nil
+			b, q.Bases = download{}, nil
 		}
 		if ctx.Err() != nil {
 			break
@@ -71,24 +71,24 @@
 	return nil, 0, err
 }
 
-// from asks one host for what is missing.
-func (f *Fetch) from(ctx context.Context, host mate.Mate, q piece.Piece, b *begun) error {
-	waits := time.Now()
+// fetchFrom requests the missing chunks from one host.
+func (f *Fetch) fetchFrom(ctx context.Context, host mate.Mate, q piece.Piece, b *download) error {
+	waitStart := time.Now()
 	for b.Size == 0 || len(b.data) < b.Size {
 		q.Sum, q.Offset = b.Sum, len(b.data)
 		c, err := f.ask(ctx, host, q)
 		switch {
 		case err != nil:
 			return err
-		case c.WaitMS > 0 && time.Since(waits) > queueFor:
-			return merry.Errorf("waited for %v", time.Since(waits))
+		case c.WaitMS > 0 && time.Since(waitStart) > maxQueueWait:
+			return merry.Errorf("host still busy after %v", time.Since(waitStart))
 		case c.WaitMS > 0:
 			ticker.Sleep(ctx, time.Duration(c.WaitMS)*time.Millisecond)
 			continue
 		case c.Size == 0:
-			return ErrNone
+			return ErrNotFound
 		}
-		waits = time.Now()
+		waitStart = time.Now()
 		if err := b.add(c); err != nil {
 			return err
 		}
@@ -97,32 +97,32 @@
 }
 
 func (f *Fetch) ask(ctx context.Context, host mate.Mate, q piece.Piece) (chunk.Chunk, error) {
-	ctx, cancel := context.WithTimeout(ctx, pieceFor)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return f.Ask(ctx, host, q)
 }
 
-// add takes the next piece, or the first one of another parcel.
-func (b *begun) add(c chunk.Chunk) error {
+// add appends the next chunk, or starts over if it is the first of another parcel.
+func (b *download) add(c chunk.Chunk) error {
 	if c.Sum != b.Sum {
 		b.data = nil
 	}
-	if c.Size > mostSize || c.Offset != len(b.data) || len(c.Data) == 0 || c.Offset+len(c.Data) > c.Size {
-		*b = begun{}
-		return merry.Errorf("%d bytes at %d of %d do not go on", len(c.Data), c.Offset, c.Size)
+	if c.Size > maxSize || c.Offset != len(b.data) || len(c.Data) == 0 || c.Offset+len(c.Data) > c.Size {
+		*b = download{}
+		return merry.Errorf("unexpected chunk of %d bytes at offset %d of %d", len(c.Data), c.Offset, c.Size)
 	}
 	b.Chunk = c
 	b.data = append(b.data, c.Data...)
 	return nil
 }
 
-// open decodes a parcel that has come whole.
-func (f *Fetch) open(b begun) ([]rows.Row, error) {
+// decode decodes a complete parcel.
+func (f *Fetch) decode(b download) ([]rows.Row, error) {
 	var value []byte
 	if b.Base != 0 {
 		found, rev := f.Past.Find(b.Base)
 		if rev == 0 {
-			return nil, merry.Prependf(parcel.ErrDamaged, "made against revision %d, which this host has not", b.Base)
+			return nil, merry.Prependf(parcel.ErrDamaged, "encoded against revision %d, which this host does not have", b.Base)
 		}
 		value = found
 	}
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -22,22 +22,22 @@
 	"damaskreach/internal/rows"
 )
 
-// errGone is what asking a host that is gone brings.
-var errGone = errors.New("no answer")
+// errNoAnswer is returned for requests to a host that is gone.
+var errNoAnswer = errors.New("no answer")
 
-// site is hosts that give rows and one that asks for them.
+// site consists of hosts that serve rows and one that fetches them.
 type site struct {
 	fetch.Fetch
 	hosts  []mate.Mate
 	depots map[string]*depot.Depot
-	harm   func(host string, c *chunk.Chunk) error // what becomes of an answer
+	tamper func(host string, c *chunk.Chunk) error // changes or fails an answer
 	asked  map[string]int
 	bytes  int
 }
 
-// newSite returns a site whose hosts all know a value, and the old one before it.
+// newSite returns a site whose hosts all have a value and its previous version.
 func newSite(old, value []byte) *site {
-	s := &site{depots: map[string]*depot.Depot{}, asked: map[string]int{}, harm: func(string, *chunk.Chunk) error { return nil }}
+	s := &site{depots: map[string]*depot.Depot{}, asked: map[string]int{}, tamper: func(string, *chunk.Chunk) error { return nil }}
 	s.Past, s.Log = &past.Past{}, zap.NewNop()
 	s.Past.Add(rows.Row{Key: "op/config", Value: old, Rev: 5})
 	for n := range 3 {
@@ -52,7 +52,7 @@
 		s.asked[to.IP]++
 		c, err := s.depots[to.IP].Answer("10.0.0.9", q)
 		if err == nil {
-			err = s.harm(to.IP, &c)
+			err = s.tamper(to.IP, &c)
 		}
 		if err == nil {
 			s.bytes += len(c.Data)
@@ -62,8 +62,8 @@
 	return s
 }
 
-// want checks that the rows are got as they are.
-func (s *site) want(t *testing.T, value []byte) {
+// checkRows checks that the fetched row has the value.
+func (s *site) checkRows(t *testing.T, value []byte) {
 	t.Helper()
 	list, rev, err := s.Rows(t.Context(), s.hosts, "op/", feed.Whole)
 	if err != nil || rev != 12 || len(list) != 1 || !bytes.Equal(list[0].Value, value) {
@@ -71,33 +71,33 @@
 	}
 }
 
-// noise returns bytes that do not compress.
+// noise returns incompressible bytes.
 func noise(seed uint64, size int) []byte {
-	luck, b := rand.New(rand.NewPCG(seed, 1)), make([]byte, size)
+	rng, b := rand.New(rand.NewPCG(seed, 1)), make([]byte, size)
 	for i := range b {
-		b[i] = byte(luck.Uint32())
+		b[i] = byte(rng.Uint32())
 	}
 	return b
 }
 
-// The host that gives a configuration is lost in the middle of it. What has come is not sent again: another host goes on from there.
-func TestAnotherHostGoesOnWhereTheFirstOneStopped(t *testing.T) {
+// The host that sends a configuration fails halfway. Another host continues, and received chunks are not sent again.
+func TestDownloadResumesAtAnotherHost(t *testing.T) {
 	value := noise(1, 300<<10)
 	s := newSite(noise(2, 100<<10), value)
-	s.harm = func(host string, c *chunk.Chunk) error {
+	s.tamper = func(host string, c *chunk.Chunk) error {
 		if host == "10.0.0.1" && c.Offset > 150<<10 {
-			return errGone
+			return errNoAnswer
 		}
 		return nil
 	}
-	s.want(t, value)
-	if most := len(value) + len(value)/20; s.bytes > most {
-		t.Errorf("%d bytes were sent, want %d at most", s.bytes, most)
+	s.checkRows(t, value)
+	if limit := len(value) + len(value)/20; s.bytes > limit {
+		t.Errorf("%d bytes were sent, want %d at most", s.bytes, limit)
 	}
 }
 
-// A broken host sends pieces that do not fit together, or other bytes than it says. None of it may be in force, and the next host is asked.
-func TestBrokenHostIsPassedOver(t *testing.T) {
+// A faulty host sends chunks that do not fit or do not match their digest. They must not be applied, and the next host is asked.
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	value := noise(1, 100<<10)
 	for name, harm := range map[string]func(c *chunk.Chunk){
 		"bytes changed":   func(c *chunk.Chunk) { c.Data = append([]byte(nil), c.Data...); c.Data[len(c.Data)/2] ^= 1 },
@@ -110,28 +110,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(noise(2, 100<<10), value)
-			s.harm = func(host string, c *chunk.Chunk) error {
+			s.tamper = func(host string, c *chunk.Chunk) error {
 				if host == "10.0.0.1" {
 					harm(c)
 				}
 				return nil
 			}
-			s.want(t, value)
+			s.checkRows(t, value)
 		})
 	}
 }
 
-// A host has an old version that no other one has any more. It gets the whole.
-func TestHostWithoutACommonVersionGetsTheWhole(t *testing.T) {
+// A host whose old version no other host still has gets the full rows instead of a delta.
+func TestHostWithoutCommonVersionGetsFullRows(t *testing.T) {
 	value := noise(1, 100<<10)
 	s := newSite(noise(2, 100<<10), value)
 	s.Past = &past.Past{}
 	s.Past.Add(rows.Row{Key: "op/config", Value: noise(3, 100<<10), Rev: 4})
-	s.want(t, value)
+	s.checkRows(t, value)
 }
 
-// The configuration changes again and again while a host gets it. Were each change to begin anew, the host would never have one.
-func TestChangesDoNotKeepAHostFromHavingAny(t *testing.T) {
+// The configuration keeps changing during a download. If each change restarted it, the host would never finish.
+func TestFrequentChangesDoNotRestartDownload(t *testing.T) {
 	s := newSite(noise(2, 100<<10), nil)
 	first, rev := noise(1, 200<<10), int64(12)
 	for _, d := range s.depots {
@@ -145,13 +145,13 @@
 	}
 }
 
-// All hosts of a relay ask for a configuration at once. Were it given to all of them at the same time, its link would be taken for as long as all of
-// them need, and each would have it as late as the last one.
-func TestFewHostsAreGivenToAtOnce(t *testing.T) {
+// All hosts of a relay request a configuration at once. If it served them all together, they would share its link and each
+// would finish as late as the last.
+func TestConcurrentDownloadsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(noise(2, 100<<10), noise(1, 100<<10))
-		d, most, sum := s.depots["10.0.0.1"], 0, ""
-		has := map[string]int{} // bytes at each host that has not got all
+		d, maxActive, sum := s.depots["10.0.0.1"], 0, ""
+		has := map[string]int{} // bytes received by each unfinished host
 		for n := range 30 {
 			has[fmt.Sprint("10.1.0.", n)] = 0
 		}
@@ -170,21 +170,21 @@
 				}
 				sum = c.Sum
 				has[host] += len(c.Data)
-				most = max(most, begun(has))
+				maxActive = max(maxActive, download(has))
 				if has[host] == c.Size {
 					delete(has, host)
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		if most > 4 {
-			t.Errorf("%d hosts were given to at once, want 4 at most", most)
+		if maxActive > 4 {
+			t.Errorf("%d hosts were given to at once, want 4 at most", maxActive)
 		}
 	})
 }
 
-// begun returns how many hosts have got something.
-func begun(has map[string]int) (count int) {
+// begun returns how many hosts have received some bytes.
+func download(has map[string]int) (count int) {
 	for _, bytes := range has {
 		if bytes > 0 {
 			count++
@@ -193,9 +193,9 @@
 	return count
 }
 
-// A host that starts asks for rows of several kinds at once. When it has all of one kind, it must not lose its turn for the others: with many hosts that
-// start together it would wait anew for each piece.
-func TestRowsOfOneKindDoNotEndTheTurnOfAnother(t *testing.T) {
+// A starting host downloads rows of several prefixes at once. Finishing one must not release its slot for the others: with many
+// hosts starting together it would queue again for each chunk.
+func TestFinishedDownloadKeepsSlotForOtherRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(noise(2, 100<<10), noise(1, 100<<10))
 		d := s.depots["10.0.0.1"]
@@ -212,7 +212,7 @@
 		}
 		d.Rows = func(string, int64) ([]rows.Row, int64, bool) { return []rows.Row{{Key: "up/a", Rev: 9}}, 12, true }
 		first("10.1.0.1", "up/")
-		first("10.1.0.9", "op/") // takes what is free
+		first("10.1.0.9", "op/") // takes the free slot
 		c, err := d.Answer("10.1.0.1", piece.Piece{Prefix: "op/", After: feed.Whole, Sum: long.Sum, Offset: len(long.Data)})
 		if err != nil || c.WaitMS > 0 || c.Offset != len(long.Data) {
 			t.Errorf("the next piece: wait %d ms, offset %d, %v, want none and %d", c.WaitMS, c.Offset, err, len(long.Data))
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	tableTimeout = 5 * time.Second
-	askTimeout   = time.Second
+	tableTimeout   = 5 * time.Second
+	requestTimeout = time.Second
 )
 
-// Follow reads the tail of configuration changes and passes them on to the other nodes at once, so that a change is
-// in force after one node's poll and one message. The fields are set before Register.
+// Follow polls the table for configuration changes and pushes them to the other nodes, so that a change takes effect after
+// one node's poll and one message. The fields are set before Register.
 type Follow struct {
 	Table table.Table
 	Mesh  *peer.Mesh
 	Poll  time.Duration
 	Log   *zap.Logger
-	// Name is the node's; it says when within the interval this node reads.
+	// Name is the node's name; it determines the node's phase within the poll interval.
 	Name string
 	// Peers returns the addresses of the other nodes.
 	Peers func() []string
-	// Seeds are addresses of nodes to ask while no others are known; see askPeer.
+	// Seeds are addresses of nodes to ask while no peers are known; see askPeer.
 	Seeds []string
-	// Objects holds snapshots; without functions none are read or written.
+	// Objects stores snapshots; nil functions disable reading or writing them.
 	Objects object.Object
-	// Chosen reports whether this node, of all that serve, is the one to do a task.
+	// Chosen reports whether this node is the one among all serving nodes to do a task.
 	Chosen func(task string) bool
 
 	mu      sync.Mutex
 	catalog catlog.Catalog
 }
 
-// Register takes the changes that other nodes pass on.
+// Register registers the handlers for messages of other nodes.
 func (f *Follow) Register() {
 	f.catalog = catlog.NewCatalog()
 	f.register()
@@ -61,39 +61,39 @@
 
 // Run follows the table until ctx ends.
 //
-// A site's nodes are often started in the same moment. Did they go on to read in the same moments, each would be the
-// first to see every change and push it to all others; therefore each waits for its own part of the interval once.
+// Nodes of a site often start together. If they also polled together, each would see every change first and push it to all
+// others, so each node first waits for its phase of the interval.
 func (f *Follow) Run(ctx context.Context) {
 	f.loadSnapshot(ctx)
 	go f.keepSnapshots(ctx)
-	f.turn(ctx)
+	f.poll(ctx)
 	select {
 	case <-time.After(phase(f.Name, f.Poll)):
 	case <-ctx.Done():
 		return
 	}
 	for range ticker.Repeat(ctx, f.Poll, nil) {
-		f.turn(ctx)
+		f.poll(ctx)
 	}
 }
 
-func (f *Follow) turn(ctx context.Context) {
+func (f *Follow) poll(ctx context.Context) {
 	if err := f.Read(ctx); err != nil {
 		f.Log.Warn("reading the configuration tail failed; a peer is asked", zap.Error(err))
 		f.askPeer(ctx)
 	}
 }
 
-// phase returns a part of the interval by the hash of a name.
+// phase derives an offset within the interval from the hash of a name.
 func phase(name string, interval time.Duration) time.Duration {
 	sum := sha256.Sum256([]byte(name))
 	return time.Duration(binary.BigEndian.Uint64(sum[:]) % uint64(interval))
 }
 
-// Read takes all changes since the last reading and passes on those that were not in force before.
+// Read applies all changes since the last read and pushes those that were not yet known.
 //
-// A tail brings what a peer has pushed meanwhile once more, and the table's revision rises with every session that is
-// renewed: neither tells what is news. Were known rows passed on, each of n nodes might push one change to all others.
+// A tail repeats rows that peers have pushed, and every session renewal raises the table's revision, so neither shows that a
+// row is new. If known rows were pushed, each of n nodes might push one change to all others.
 func (f *Follow) Read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -110,7 +110,7 @@
 		news = c.News(changed)
 		return c.WithTail(changed, after, rev)
 	})
-	f.spread(ctx, newPush(news, push{After: after, UpTo: rev, Rows: changed}))
+	f.sendPush(ctx, newPush(news, push{After: after, UpTo: rev, Rows: changed}))
 	return nil
 }
 
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// update puts changes in force.
+// update applies changes to the configuration in force and logs rejected rows.
 func (f *Follow) update(change func(c catlog.Catalog) (catlog.Catalog, []error)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/push.go
+++ b/internal/follow/push.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	methodRows  = "rows"
-	methodWhole = "configuration"
-	mostPushed  = 256 // rows passed on at once; a node that misses more asks for them
+	methodRows    = "rows"
+	methodWhole   = "configuration"
+	maxPushedRows = 256 // a node that misses a larger push asks for the rows
 )
 
-// push carries all changes after one revision up to another, or some rows without a claim to be all; then both are zero.
+// push carries all changes after one revision up to another, or, with both zero, some rows that may not be all.
 type push struct {
 	After int64      `msgpack:"after"`
 	UpTo  int64      `msgpack:"upto"`
 	Rows  []rows.Row `msgpack:"rows"`
 }
 
-// newPush returns what is to be passed on of a tail: its news. Where that is a part of it only, the push must not say that
-// it is all: a node that lost the push of the other rows would never read them.
+// newPush returns the push for the new rows of a tail. If these are only part of the tail, the push must not claim to be
+// complete: a node that lost the push of the other rows would never read them.
 func newPush(news []rows.Row, tail push) push {
 	if len(news) == len(tail.Rows) {
 		return tail
@@ -35,58 +35,58 @@
 	return push{Rows: news}
 }
 
-type pushSaid struct{}
+type pushAnswer struct{}
 
-// wholeAsk asks for the whole configuration of a node that has every change beyond a revision.
-type wholeAsk struct {
+// snapshotRequest asks a node for its whole configuration if it knows changes beyond a revision.
+type snapshotRequest struct {
 	Complete int64 `msgpack:"complete"`
 }
 
-// wholeSaid holds a snapshot, or nothing where the asker knows as much.
-type wholeSaid struct {
+// snapshotAnswer holds a snapshot, or nothing if the asking node is up to date.
+type snapshotAnswer struct {
 	Snapshot []byte `msgpack:"snapshot"`
 }
 
-// register takes the changes that other nodes pass on and answers those that ask for all.
+// register handles pushes of other nodes and their requests for a snapshot.
 func (f *Follow) register() {
-	peer.Answer(f.Mesh, methodRows, func(_ context.Context, _ string, p push) (pushSaid, error) {
+	peer.Answer(f.Mesh, methodRows, func(_ context.Context, _ string, p push) (pushAnswer, error) {
 		f.update(func(c catlog.Catalog) (catlog.Catalog, []error) { return c.WithTail(p.Rows, p.After, p.UpTo) })
-		return pushSaid{}, nil
+		return pushAnswer{}, nil
 	})
-	peer.Answer(f.Mesh, methodWhole, func(_ context.Context, _ string, q wholeAsk) (wholeSaid, error) {
+	peer.Answer(f.Mesh, methodWhole, func(_ context.Context, _ string, q snapshotRequest) (snapshotAnswer, error) {
 		c := f.Catalog()
 		if c.Complete() <= q.Complete {
-			return wholeSaid{}, nil
+			return snapshotAnswer{}, nil
 		}
 		data, err := snap.Encode(c.Rows(), c.Complete())
-		return wholeSaid{Snapshot: data}, err
+		return snapshotAnswer{Snapshot: data}, err
 	})
 }
 
-// spread passes changes on to the other nodes. A push that is lost leaves its receiver behind until its own next
-// reading; one that cannot read the table asks a peer, see askPeer.
-func (f *Follow) spread(ctx context.Context, p push) {
-	if len(p.Rows) == 0 || len(p.Rows) > mostPushed {
+// sendPush pushes changes to the other nodes. A node that loses a push catches up at its next read; one that cannot read the
+// table asks a peer, see askPeer.
+func (f *Follow) sendPush(ctx context.Context, p push) {
+	if len(p.Rows) == 0 || len(p.Rows) > maxPushedRows {
 		return
 	}
 	for _, addr := range f.Peers() {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 			defer cancel()
-			_ = f.Mesh.Ask(ctx, addr, methodRows, p, &pushSaid{}) // see above
+			_ = f.Mesh.Ask(ctx, addr, methodRows, p, &pushAnswer{}) // see above
 		}()
 	}
 }
 
-// askPeer takes the configuration of another node, if that is further on. Nodes that cannot reach the table service
-// stay in step this way, and a node that starts in an outage gets a configuration at all.
+// askPeer applies the configuration of another node if it is newer. This keeps nodes up to date that cannot reach the table,
+// and gives a configuration to a node that starts during an outage.
 func (f *Follow) askPeer(ctx context.Context) {
 	addrs := f.Peers()
 	if len(addrs) == 0 {
 		addrs = f.Seeds
 	}
 	for _, i := range rand.Perm(len(addrs)) {
-		err := f.askFrom(ctx, addrs[i])
+		err := f.fetchFrom(ctx, addrs[i])
 		if err == nil {
 			return
 		}
@@ -94,24 +94,24 @@
 	}
 }
 
-func (f *Follow) askFrom(ctx context.Context, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (f *Follow) fetchFrom(ctx context.Context, addr string) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var said wholeSaid
-	if err := f.Mesh.Ask(ctx, addr, methodWhole, wholeAsk{Complete: f.Catalog().Complete()}, &said); err != nil {
+	var said snapshotAnswer
+	if err := f.Mesh.Ask(ctx, addr, methodWhole, snapshotRequest{Complete: f.Catalog().Complete()}, &said); err != nil {
 		return err
 	}
 	if len(said.Snapshot) == 0 {
 		return nil
 	}
-	return f.takeSnapshot(said.Snapshot)
+	return f.applySnapshot(said.Snapshot)
 }
 
-// takeSnapshot puts the rows of a snapshot in force; one older than what is in force changes nothing.
-func (f *Follow) takeSnapshot(data []byte) error {
+// applySnapshot applies the rows of a snapshot; one older than the configuration in force changes nothing.
+func (f *Follow) applySnapshot(data []byte) error {
 	all, rev, err := snap.Decode(data)
 	if err != nil {
-		return merry.Prepend(err, "taking a snapshot in")
+		return merry.Prepend(err, "decoding a snapshot")
 	}
 	f.update(func(c catlog.Catalog) (catlog.Catalog, []error) { return c.WithWhole(all, rev) })
 	return nil
--- a/internal/follow/push_test.go
+++ b/internal/follow/push_test.go
@@ -23,12 +23,12 @@
 const (
 	followers = 6
 	poll      = 2 * time.Second
-	apart     = 300 * time.Millisecond // for a push to arrive
+	pushDelay = 300 * time.Millisecond // time for a push to arrive
 	pushes    = "rows"
 )
 
-// team is nodes that follow one table, with what each of them sends counted by itself.
-type team struct {
+// cluster is a set of nodes that follow one table, with the messages that each sends counted.
+type cluster struct {
 	db    *rowdb.DB
 	nodes []*follow.Follow
 	sent  []*tally.Tally
@@ -38,12 +38,12 @@
 	return fmt.Sprintf("10.0.0.%d:7000", i+1)
 }
 
-// withTeam runs work on nodes that serve each other and do not read the table yet, in virtual time.
-func withTeam(t *testing.T, work func(ctx context.Context, t *testing.T, m *team)) {
+// withCluster runs work, in virtual time, on nodes that serve each other and have not read the table yet.
+func withCluster(t *testing.T, work func(ctx context.Context, t *testing.T, m *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		network := memnet.NewNet(1)
-		m := &team{db: rowdb.NewDB()}
+		m := &cluster{db: rowdb.NewDB()}
 		for i := range followers {
 			m.join(ctx, t, network, i)
 		}
@@ -55,7 +55,7 @@
 	})
 }
 
-func (m *team) join(ctx context.Context, t *testing.T, network *memnet.Net, i int) {
+func (m *cluster) join(ctx context.Context, t *testing.T, network *memnet.Net, i int) {
 	t.Helper()
 	host := fmt.Sprintf("10.0.0.%d", i+1)
 	sent := tally.NewTally()
@@ -77,7 +77,7 @@
 }
 
 // write writes an adapter's row and returns its revision.
-func (m *team) write(t *testing.T, name string, share int) int64 {
+func (m *cluster) write(t *testing.T, name string, share int) int64 {
 	t.Helper()
 	key := catlog.Key(catlog.KindAdapter, name)
 	row := site.Row(catlog.KindAdapter, name, adapt.Adapter{Name: name, Tenant: "roads", Group: "assist", Versions: map[string]int{"v1": share}})
@@ -91,25 +91,25 @@
 	return rev
 }
 
-// renew writes a session, as all nodes do: the table's revision rises without a change of the configuration.
-func (m *team) renew(t *testing.T, name string) {
+// renew writes a session, which raises the table's revision without a configuration change.
+func (m *cluster) renew(t *testing.T, name string) {
 	t.Helper()
 	if _, err := m.db.Table().Write(t.Context(), rows.Row{Key: "node/site/" + name, Value: []byte(name)}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// read lets a node read its tail, and its pushes arrive.
-func (m *team) read(ctx context.Context, t *testing.T, i int) {
+// read makes a node read its tail and waits for its pushes to arrive.
+func (m *cluster) read(ctx context.Context, t *testing.T, i int) {
 	t.Helper()
 	if err := m.nodes[i].Read(ctx); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(apart)
+	time.Sleep(pushDelay)
 }
 
-// pushed returns how many nodes have pushed something since the tallies were reset, and the pushes of all.
-func (m *team) pushed() (pushers, total int64) {
+// pushed returns how many nodes have pushed since the reset, and the total number of pushes.
+func (m *cluster) pushed() (pushers, total int64) {
 	for _, sent := range m.sent {
 		messages, _ := sent.Count(pushes)
 		total += messages / 2 // each with its answer
@@ -118,7 +118,7 @@
 	return pushers, total
 }
 
-func (m *team) reset() {
+func (m *cluster) reset() {
 	for _, sent := range m.sent {
 		sent.Reset()
 	}
@@ -129,12 +129,10 @@
 	return a.Versions["v1"]
 }
 
-// A row changes; the first node that reads it pushes it to all. Those that read last before the pusher's last reading find
-// the same row in their own tails a moment later, while the sessions of nodes have raised the table's revision. Were that
-// taken for news, every node would push every change to every other one: n x (n-1) messages for one edit, which fill the
-// network of a large site.
+// Other nodes find a pushed row in their own tails, at a higher table revision because sessions were renewed. If they took it
+// for new, each would push it again: n x (n-1) messages for one edit, which fill the network of a large site.
 func TestChangeIsPushedByItsFirstReaderOnly(t *testing.T) {
-	withTeam(t, func(ctx context.Context, t *testing.T, m *team) {
+	withCluster(t, func(ctx context.Context, t *testing.T, m *cluster) {
 		m.write(t, "a", 1)
 		for i := range m.nodes {
 			m.read(ctx, t, i)
@@ -161,16 +159,15 @@
 	})
 }
 
-// All nodes of a site are started at once, by a script. Did they read the table in the same moments from then on, each of
-// them would be the first to see every change, and would push it to all others; and a change would wait for an interval
-// although there are many readers.
-func TestNodesThatStartTogetherReadApart(t *testing.T) {
-	withTeam(t, func(ctx context.Context, t *testing.T, m *team) {
+// Nodes are started together by a script. If they polled in step, each would see every change first and push it to all others,
+// and a change would wait for a full interval although there are many readers.
+func TestNodesThatStartTogetherPollAtDifferentTimes(t *testing.T) {
+	withCluster(t, func(ctx context.Context, t *testing.T, m *cluster) {
 		m.write(t, "a", 1)
 		for _, f := range m.nodes {
 			go f.Run(ctx)
 		}
-		time.Sleep(2*poll + apart)
+		time.Sleep(2*poll + pushDelay)
 		m.reset()
 		m.write(t, "a", 2)
 		time.Sleep(2 * poll)
@@ -185,11 +182,10 @@
 	})
 }
 
-// A node holds a row by a push while it misses an earlier one, and its tail then brings both. The row that it knew is not
-// passed on. A third node that lost the push of that row must not take the rest for all there was up to the tail's
-// revision: it would miss an accepted change for good, and callers would be treated differently node by node.
-func TestPartOfATailDoesNotHideTheRest(t *testing.T) {
-	withTeam(t, func(ctx context.Context, t *testing.T, m *team) {
+// A node already knows one row of its tail and pushes only the rest. A node that lost the push of the known row must not take
+// the rest for complete up to the tail's revision: it would never get the row, and would treat callers differently.
+func TestPartialPushDoesNotHideMissingRows(t *testing.T) {
+	withCluster(t, func(ctx context.Context, t *testing.T, m *cluster) {
 		first, second := m.nodes[0], m.nodes[1]
 		m.write(t, "start", 1)
 		m.read(ctx, t, 0)
@@ -199,7 +195,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A push as a node sends it that had read all but the row of b.
+		// A push by a node that had read all but the row of b.
 		pushed := map[string]any{"after": rev - 1, "upto": rev, "rows": []rows.Row{row}}
 		if err := m.nodes[2].Mesh.Ask(ctx, addr(0), pushes, pushed, &struct{}{}); err != nil {
 			t.Fatal(err)
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	snapshotName = "configuration"
-	snapshotRate = time.Minute // least interval of snapshots written by one node
+	snapshotName     = "configuration"
+	snapshotInterval = time.Minute // minimum between snapshots of one node
 )
 
-// loadSnapshot begins with the snapshot in the object store, so that a starting node need not list the table.
-// An old one costs a longer tail and nothing else.
+// loadSnapshot applies the snapshot in the object store, so that a starting node need not list the table. An old snapshot only
+// makes the following tail longer.
 func (f *Follow) loadSnapshot(ctx context.Context) {
 	if f.Objects.Get == nil {
 		return
@@ -27,20 +27,20 @@
 	defer cancel()
 	data, err := f.Objects.Get(ctx, snapshotName)
 	if err == nil {
-		err = f.takeSnapshot(data)
+		err = f.applySnapshot(data)
 	}
 	if err != nil && !errors.Is(err, object.ErrAbsent) {
 		f.Log.Warn("reading the snapshot failed; the whole table is read", zap.Error(err))
 	}
 }
 
-// keepSnapshots writes a snapshot now and then while this node is the one to do it and there is something new.
+// keepSnapshots writes a snapshot at intervals while this node is chosen to and there are changes.
 func (f *Follow) keepSnapshots(ctx context.Context) {
 	if f.Objects.Put == nil {
 		return
 	}
 	var written int64
-	for range ticker.Every(ctx, snapshotRate) {
+	for range ticker.Every(ctx, snapshotInterval) {
 		if c := f.Catalog(); c.Complete() > written && f.Chosen(snapshotName) {
 			written = f.writeSnapshot(ctx, written)
 		}
--- a/internal/parcel/bench_test.go
+++ b/internal/parcel/bench_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// What a host needs to give, and to take, a configuration of 2,800 routes as a difference from 1,400.
+// Measures encoding a configuration of 2,800 routes as a delta to 1,400; BenchmarkRows measures decoding it.
 func BenchmarkNewParcel(b *testing.B) {
-	old := text(0, 1400)
-	value := text(0, 2800)
+	old := routes(0, 1400)
+	value := routes(0, 2800)
 	b.ReportAllocs()
 	for b.Loop() {
 		pack(b, value, 7, old)
@@ -13,8 +13,8 @@
 }
 
 func BenchmarkRows(b *testing.B) {
-	old := text(0, 1400)
-	p := pack(b, text(0, 2800), 7, old)
+	old := routes(0, 1400)
+	p := pack(b, routes(0, 2800), 7, old)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := p.Rows(old); err != nil {
--- a/internal/parcel/parcel.go
+++ b/internal/parcel/parcel.go
@@ -1,5 +1,5 @@
-// Package parcel encodes rows for the way from one host to another: compressed, and where both have an older version of a large row, as little more
-// than the difference.
+// Package parcel encodes rows for transfer between hosts: compressed, and as a delta if both hosts have an older version of a
+// large row.
 package parcel
 
 import (
@@ -15,27 +15,27 @@
 )
 
 const (
-	// leastWindow and mostWindow bound how far back repetitions are looked for, in bytes: as far as a row and the version before it are long, since memory
-	// is taken for all of it.
-	leastWindow, mostWindow = 1 << 20, 32 << 20
-	// mostDecoded bounds what a parcel decodes to: what came may be from a broken host.
-	mostDecoded = 128 << 20
-	// dictID marks what was encoded against an older version.
+	// minWindow and maxWindow limit the compression window, in bytes. It must span a row and its previous version, but memory is
+	// allocated for all of it.
+	minWindow, maxWindow = 1 << 20, 32 << 20
+	// maxDecodedSize limits the decoded size of a parcel, in bytes: the host that sends it may be faulty.
+	maxDecodedSize = 128 << 20
+	// dictID is the ID of the zstd dictionary, the older version, in deltas.
 	dictID = 1
 )
 
 // ErrDamaged means that a parcel does not decode to what was encoded.
 var ErrDamaged = merry.Sentinel("parcel: damaged")
 
-// Parcel is immutable.
+// Parcel holds encoded rows. It is immutable.
 type Parcel struct {
-	Rev  int64  // up to which the rows are known
-	Base int64  // revision of the row whose value is needed to decode it; 0 where none is
-	Sum  string // digest of the rows and of what is needed for them
+	Rev  int64  // revision up to which the rows are known
+	Base int64  // revision of the row whose value is needed to decode; 0 if none
+	Sum  string // digest of the rows and the base revision
 	Data []byte
 }
 
-// NewParcel encodes rows that are known up to a revision, against the value of a base where that is not 0.
+// NewParcel encodes rows that are known up to a revision, as a delta to the value of the base unless base is 0.
 func NewParcel(list []rows.Row, rev, base int64, value []byte) (Parcel, error) {
 	plain, err := msgpack.Marshal(list)
 	if err != nil {
@@ -53,9 +53,9 @@
 	return Parcel{Rev: rev, Base: base, Sum: sum(plain, base), Data: encoder.EncodeAll(plain, nil)}, nil
 }
 
-// Rows decodes the rows, with the value of the base where there is one. Its errors are ErrDamaged.
+// Rows decodes the rows, given the value of the base if there is one. Its errors are ErrDamaged.
 func (p Parcel) Rows(value []byte) ([]rows.Row, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostDecoded), zstd.WithDecoderMaxWindow(mostWindow)}
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedSize), zstd.WithDecoderMaxWindow(maxWindow)}
 	if p.Base != 0 {
 		options = append(options, zstd.WithDecoderDictRaw(dictID, value))
 	}
@@ -78,16 +78,16 @@
 	return list, nil
 }
 
-// window returns the window for so many bytes, a power of two.
+// window returns the compression window for a size in bytes, a power of two.
 func window(size int) int {
-	w := leastWindow
-	for w < size && w < mostWindow {
+	w := minWindow
+	for w < size && w < maxWindow {
 		w *= 2
 	}
 	return w
 }
 
-// sum tells parcels apart whose bytes differ: two hosts that encode the same rows against the same base get the same.
+// sum returns a digest that is the same on all hosts that encode the same rows against the same base.
 func sum(plain []byte, base int64) string {
 	digest := sha256.New()
 	digest.Write(strconv.AppendInt(nil, base, 10))
--- a/internal/parcel/parcel_test.go
+++ b/internal/parcel/parcel_test.go
@@ -10,8 +10,8 @@
 	"damaskreach/internal/rows"
 )
 
-// text returns the routes from one number up to another.
-func text(from, to int) []byte {
+// routes returns the routes numbered from one number up to, but not including, another.
+func routes(from, to int) []byte {
 	var b bytes.Buffer
 	for n := from; n < to; n++ {
 		fmt.Fprintf(&b, `{"name":"r-%07x","prefix":"/%08x/","timeout_ms":15000,"service":"wuno96b"},`, n*7919, n*104729)
@@ -28,15 +28,15 @@
 	return p
 }
 
-// A change of one figure among thousands of routes is to cost little more than the figure, and a change that adds routes little more than these.
-func TestParcelHoldsLittleMoreThanTheDifference(t *testing.T) {
-	old := text(0, 2800)
+// A delta that changes one figure among thousands of routes, or adds routes, must be little larger than the change.
+func TestDeltaIsLittleLargerThanChange(t *testing.T) {
+	old := routes(0, 2800)
 	changed := bytes.Replace(old, []byte("15000"), []byte("16000"), 1)
 	for name, c := range map[string]struct {
 		value []byte
 		most  int // bytes
 	}{
-		"one figure": {changed, 1 << 10}, "half as many again": {text(0, 4200), len(old) / 8},
+		"one figure": {changed, 1 << 10}, "half as many again": {routes(0, 4200), len(old) / 8},
 	} {
 		p := pack(t, c.value, 7, old)
 		if len(p.Data) > c.most {
@@ -49,12 +49,12 @@
 	}
 }
 
-// A host has another row under the revision that the difference was made against, or bytes are lost or changed on the way. What would come out is no
-// configuration that operators ever wrote; it must not be in force.
-func TestDamagedParcelIsNotTaken(t *testing.T) {
-	old := text(0, 2800)
-	p := pack(t, text(0, 3000), 7, old)
-	whole := pack(t, text(0, 3000), 0, nil)
+// The receiver has another row at the base revision, or bytes are lost or changed in transit. The result would be a configuration
+// that no operator wrote, so it must be rejected.
+func TestDamagedParcelIsRejected(t *testing.T) {
+	old := routes(0, 2800)
+	p := pack(t, routes(0, 3000), 7, old)
+	whole := pack(t, routes(0, 3000), 0, nil)
 	changed := func(p parcel.Parcel, change func(data []byte) []byte) parcel.Parcel {
 		p.Data = change(bytes.Clone(p.Data))
 		return p
@@ -65,7 +65,7 @@
 		p    parcel.Parcel
 		base []byte
 	}{
-		"another base": {p, text(1, 2801)}, "no base": {p, nil},
+		"another base": {p, routes(1, 2801)}, "no base": {p, nil},
 		"a changed difference": {changed(p, flip), old}, "a cut difference": {changed(p, cut), old},
 		"a changed whole": {changed(whole, flip), nil}, "a cut whole": {changed(whole, cut), nil},
 	} {
@@ -76,12 +76,12 @@
 }
 
 func FuzzRows(f *testing.F) {
-	p, err := parcel.NewParcel([]rows.Row{{Key: "op/config", Value: text(0, 10), Rev: 9}}, 12, 0, nil)
+	p, err := parcel.NewParcel([]rows.Row{{Key: "op/config", Value: routes(0, 10), Rev: 9}}, 12, 0, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(p.Data, p.Sum, int64(0), []byte(nil))
-	f.Add(p.Data, p.Sum, int64(7), text(0, 3))
+	f.Add(p.Data, p.Sum, int64(7), routes(0, 3))
 	f.Fuzz(func(t *testing.T, data []byte, sum string, base int64, value []byte) {
 		list, err := parcel.Parcel{Base: base, Sum: sum, Data: data}.Rows(value)
 		if err != nil && (!errors.Is(err, parcel.ErrDamaged) || list != nil) {
