--- a/internal/edge/farm_test.go
+++ b/internal/edge/farm_test.go
@@ -253,7 +253,8 @@
 	e.SendOrder, e.QueryState = f.applyOrder, f.engineState
 }
 
-// admit accepts a request at an engine and returns how long its prompt takes to be read; ok is false if the engine lacks what it asks for.
+// admit accepts a request at an engine and returns the time until its prompt is read, after those before it; ok is false if the engine
+// lacks what it asks for.
 func (f *farm) admit(r *http.Request) (wait time.Duration, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/edge/limitchange_test.go
+++ b/internal/edge/limitchange_test.go
@@ -128,7 +128,7 @@
 	return limitChange{p, limits}
 }
 
-// generateLoads has the limited team ask for far more than its limits, beside the other one.
+// generateLoads has the limited team, busy, ask for far more than its limits, while the team calm asks for little.
 func (c limitChange) generateLoads(ctx context.Context, seed uint64) {
 	c.generateLoad(ctx, seed, "busy", burstRate, randomPrompt)
 	c.generateLoad(ctx, seed+1, "calm", 10, randomPrompt)
--- a/internal/edge/restore_test.go
+++ b/internal/edge/restore_test.go
@@ -43,8 +43,8 @@
 	d.store.put("op/config", strconv.FormatInt(d.newest, 10))
 }
 
-// newRestoreSite starts hosts and writes what a restore will lose: versions of the configuration, and upstreams that begin to leave, vanish
-// or are new. Then the store is down for a while and is restored.
+// newRestoreSite starts hosts and takes a backup of the store. It then writes what the restore will lose: versions of the configuration,
+// and upstreams that begin to leave, vanish or are new. Then the store is down for a while and is restored, and lost rows are rewritten.
 func newRestoreSite(t *testing.T, seed uint64, hosts int, away time.Duration) *restoreSite {
 	d := &restoreSite{fleet: newFleet(t, hosts, 4, 112), rng: rand.New(rand.NewPCG(seed, 41)), ackedAt: map[int64]time.Time{}, newest: 1}
 	time.Sleep(15 * time.Second)
--- a/internal/edge/start_test.go
+++ b/internal/edge/start_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// On a calm site, the rows sent by the store must grow with the upstreams alone, not with the hosts as well.
+// On a site where nothing changes, the store must send rows in proportion to the upstreams' registrations, however many hosts there are.
 func TestStoreSendsEachRegistrationOnce(t *testing.T) {
 	const span = 10
 	for _, hosts := range siteSizes() {
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -24,11 +24,11 @@
 	pageTimeout = 700 * time.Millisecond
 	// confWatchTime is how long the store holds a read of the operators' rows until there is a change.
 	confWatchTime = 2200 * time.Millisecond
-	// confSlack is how much longer the adapter lets such a read take.
+	// confSlack is how much longer than confWatchTime the store adapter of package platform lets such a read take.
 	confSlack = 400 * time.Millisecond
 )
 
-// store is the platform's store as its adapter presents it, with a history of all changes.
+// store stands for the platform's store as package platform, its store adapter, presents it. It has a history of all changes.
 type store struct {
 	mu           sync.Mutex
 	rows         map[string]rows.Row
--- a/internal/edge/storereads.go
+++ b/internal/edge/storereads.go
@@ -21,12 +21,12 @@
 const (
 	// readerRetryDelay is the retry delay of the host that reads for others, after the store did not answer.
 	readerRetryDelay = 250 * time.Millisecond
-	// maxMeanRetryDelay bounds the mean retry delay of other hosts.
+	// maxMeanRetryDelay bounds the mean delay after which hosts that do not read for others retry when the store did not answer.
 	maxMeanRetryDelay = 3 * time.Second
 )
 
-// ownReadMargin is how long before a leaving upstream must get no new work a host reads for itself if others do not: the time of a read, a
-// failed attempt, and the routing decision under way.
+// ownReadMargin applies when an upstream is leaving and other hosts do not read the store. It is how long before the upstream must get
+// no new work this host reads for itself: the time of a read, a failed attempt, and the routing decision under way.
 const ownReadMargin = 800 * time.Millisecond
 
 const (
@@ -35,7 +35,7 @@
 	maxBehind = 300 * time.Millisecond
 	// readerStep is the delay between hosts that try to read when the usual reader does not.
 	readerStep = 100 * time.Millisecond
-	// readSlack is how much older than the read interval the newest read may be: the time to list many registrations and to report it.
+	// readSlack is how far the age of the newest read may exceed the read interval: the time to list many registrations and to report it.
 	readSlack = 500 * time.Millisecond
 	// noLimit makes readersAhead count all hosts.
 	noLimit = math.MaxInt
--- a/internal/engine/cost_test.go
+++ b/internal/engine/cost_test.go
@@ -65,8 +65,8 @@
 	}))
 }
 
-// Guards against a dial per request, which runs small hosts out of ports.
-// A response often ends only after its [DONE] event, so the client must drain it.
+// If the client dialed for each request, small hosts would run out of ports.
+// A response often ends only after its [DONE] event, so the client must read it to its end to use the connection again.
 func TestConnectionsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.NewNet(1)
--- a/internal/engine/plain_test.go
+++ b/internal/engine/plain_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// A service crashes before or after executing a booking, or during its answer. The caller cannot tell
-// which, so none may be reported as not run, and no truncated answer as complete.
+// A service crashes before or after executing a booking, or during its answer. The caller cannot tell which of these happened, so
+// no such booking may be reported as not run, and no truncated answer as complete.
 func TestPlainServiceFailureMayHaveRun(t *testing.T) {
 	faults := map[string]struct {
 		arm      func(s *plain.Service)
--- a/internal/feeds/feeds.go
+++ b/internal/feeds/feeds.go
@@ -14,8 +14,8 @@
 	"damaskreach/internal/rows"
 )
 
-// maxRows limits the rows kept per prefix for hosts that have not seen them: as many engines as a large site claims while a change
-// reaches all hosts, at a few hundred bytes each. Of the configuration, only the latest row is kept.
+// maxRows limits the rows kept per prefix for hosts that have not seen them. It is the number of engines that a large site claims in
+// the time that a change takes to reach all hosts; a row takes a few hundred bytes. Of the configuration, only the latest row is kept.
 const maxRows = 2000
 
 // Feeds holds row changes to forward to other hosts and those received from them. It is safe for concurrent use.
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -24,7 +24,7 @@
 	baselineTTL = 20 * time.Second
 	// loadTimeout is when an unfinished load stops counting: its engine is gone.
 	loadTimeout = 5 * time.Second
-	// requestTTL is how long a refused request counts as waiting: a few times the retry interval.
+	// requestTTL is how long a load that was refused its begin counts as waiting: a few times the interval at which engines retry.
 	requestTTL = 80 * time.Millisecond
 )
 
@@ -60,9 +60,9 @@
 	return &Flow{window: initialWindow, inFlight: map[int64]time.Time{}, requests: map[string]request{}}
 }
 
-// Begin starts a load at an engine if the window allows it. The returned end takes whether the load came from the store and
-// succeeded. The deadline is the latest begin in time for the load's request. Loads that can still be in time begin first, by
-// deadline; in order of arrival a burst would also delay all loads behind it past their deadlines.
+// Begin starts a load at an engine if the window allows it. The deadline is the latest begin in time for the load's request. Loads
+// that can still be in time begin first, by deadline; in order of arrival a burst would also delay all loads behind it past their
+// deadlines. The caller calls end once the load ends; counts says that it came from the store and succeeded.
 func (f *Flow) Begin(engine string, deadline, now time.Time) (end func(now time.Time, counts bool), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/push_test.go
+++ b/internal/follow/push_test.go
@@ -27,7 +27,7 @@
 	pushes    = "rows"
 )
 
-// cluster is a set of nodes that follow one table, with the messages that each sends counted.
+// cluster is a set of nodes that follow one table; sent counts the messages of each node.
 type cluster struct {
 	db    *rowdb.DB
 	nodes []*follow.Follow
--- a/internal/intake/restore.go
+++ b/internal/intake/restore.go
@@ -10,23 +10,24 @@
 	"damaskreach/internal/target"
 )
 
-// holdBackIntervals is for how many read intervals a restored registration is held back unless rewritten: an upstream that is silent for so
-// long has lost its registration.
+// holdBackIntervals is for how many read intervals a registration that came back with a restored store is held back unless it is
+// rewritten: an upstream that is silent for so long has lost its registration.
 const holdBackIntervals = 5
 
-// heldBack holds registrations from a restored backup that contradict what this host has learnt since: that the upstream was gone, draining
-// or restarted. Upstreams write lost registrations again, and those are newer.
+// heldBack holds registrations that a store restored from a backup returns and that contradict what this host has learnt since the
+// backup: that the upstream was gone, draining or restarted. Upstreams write lost registrations again, and those are newer.
 type heldBack struct {
 	revs  map[string]int64 // revision of each held-back registration, by ID
 	since time.Time
 }
 
-// reset starts anew when all registrations are read for the first time in an era of the store.
+// reset forgets what is held back. It is called when all registrations are read for the first time in an era of the store.
 func (c *heldBack) reset(now time.Time) {
 	c.revs, c.since = map[string]int64{}, now
 }
 
-// hold holds back a registration that is behind what is known of its upstream; old is empty for an unknown upstream.
+// hold holds back a registration if it is behind what is known of its upstream, and reports whether it did; known is empty for an
+// unknown upstream.
 func (c *heldBack) hold(known, t target.Target, rev int64) bool {
 	if known.SameIncarnation(t) && (t.Draining || !known.Draining) {
 		return false
--- a/internal/intake/targets.go
+++ b/internal/intake/targets.go
@@ -169,7 +169,8 @@
 	i.unreadable[id] = rev
 }
 
-// logChange logs what changed in an upstream; it reports false where only counts did.
+// logChange logs that an upstream is new, has restarted, or has begun or stopped draining. It reports whether one of these changed, or
+// its address, group or number of models, which are not logged.
 func (i *Intake) logChange(old, t target.Target) bool {
 	switch {
 	case old.ID == "":
--- a/internal/jitter/jitter.go
+++ b/internal/jitter/jitter.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// slowFactor is the multiple of the expected time from which a reading counts as slow.
+	// slowFactor is the multiple of its expected time from which the reading of a prompt counts as slow.
 	slowFactor = 2.0
-	// sampleWeight is the weight of the newest reading; about a hundred count.
+	// sampleWeight is the weight of the newest reading in slowShare, which so depends on about a hundred readings.
 	sampleWeight = 0.01
-	// minSlowShare is the share of slow readings up to which the whole stall is planned; from maxSlowShare on minRoom is.
+	// minSlowShare is the share of slow readings up to which the whole stall may be planned; from maxSlowShare on, only minRoom of it.
 	minSlowShare = 0.01
 	maxSlowShare = 0.03
-	// minRoom is the part of the stall that an engine that slows down a few times still keeps to.
+	// minRoom is the part of the stall to plan so that even an engine that slows down a few times keeps to the whole.
 	minRoom = 0.4
 	// initialSlowShare is the share assumed before anything was measured.
 	initialSlowShare = 0.02
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -23,8 +23,8 @@
 	// bursts end before streams fall behind; idle time in them would delay requests that the engine could read in time.
 	sustainedShare = 0.5
 	loadDecay      = 2 * time.Second
-	// recheckInterval is when an overdue prompt is checked again; readTimeout is how long after its due time a confirmation
-	// is no longer expected.
+	// recheckInterval is the delay until a check for room is repeated while a prompt that should have been read is unconfirmed.
+	// readTimeout is how long after its due time a prompt's confirmation is no longer expected.
 	recheckInterval = 20 * time.Millisecond
 	readTimeout     = 1500 * time.Millisecond
 )
--- a/internal/proxy/resend.go
+++ b/internal/proxy/resend.go
@@ -1,7 +1,7 @@
 package proxy
 
-// allowResend reports whether the request may be sent again after a send that may have run. A stream that may not run at any
-// further upstream may return once to the one where it was cut only for its silence, instead of being lost.
+// allowResend reports whether the request may be sent again after a send that may have run. If it may run at no further upstream, a
+// stream that was cut only because its upstream was silent may return to that upstream once, instead of being lost.
 func (j *job) allowResend() bool {
 	if j.mayRunAgain() {
 		return true
--- a/internal/proxy/stoprace_test.go
+++ b/internal/proxy/stoprace_test.go
@@ -28,8 +28,8 @@
 	return c.Context.Err()
 }
 
-// newStopOnErrBench returns a bench whose host stops right after the first call of a request context's Err once armed is set.
-// The deadlines of these contexts are late by the given time.
+// newStopOnErrBench returns a bench. Once the test sets armed, the next call of Err on a request's context stops the host right after it
+// returns. The deadlines of these contexts are late by the given time.
 func newStopOnErrBench(t *testing.T, late time.Duration) (b *bench, armed *atomic.Bool) {
 	b = newHolderBench(t, false)
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/ration/ration.go
+++ b/internal/ration/ration.go
@@ -50,7 +50,8 @@
 	return r.Update(id, rate, 0)
 }
 
-// Update records a limit that another host has seen: the rate in requests a second, 0 for no limit, and the age of the answer.
+// Update records a limit seen in an upstream's answer, by another host or by Observe: its rate in requests a second, 0 for no limit,
+// and how long ago the answer came.
 func (r *Ration) Update(id string, rate float64, age time.Duration) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/ration/ration_test.go
+++ b/internal/ration/ration_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Limits begin, change, end and go with their upstreams. If the count of limits missed one, it would not be enforced.
+// Limits begin, change, end and go with their upstreams. If the count of limited upstreams missed a limit, it would not be enforced.
 func TestAnyLimitedCountsLimitedUpstreams(t *testing.T) {
 	c := newFakeRation()
 	checkAnyLimited := func(when string, some bool) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,7 +32,7 @@
 	Call   call.Call `msgpack:"call"`
 }
 
-// Register serves other nodes' calls.
+// Register makes this node run the calls that other nodes send for its runners.
 func (r *Relay) Register() {
 	r.Mesh.Handle(methodRun, r.serve)
 }
--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A host checks liveness several times a second.
+// BenchmarkLook measures CheckLiveness, which a host calls several times a second.
 func BenchmarkLook(b *testing.B) {
 	for _, hosts := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/roster/liveness.go
+++ b/internal/roster/liveness.go
@@ -7,8 +7,8 @@
 	"damaskreach/internal/status"
 )
 
-// CheckLiveness returns the hosts that were lost or reached since the last check, and forgets those lost long ago. A host counts as
-// alive for the duration silent after it was last heard.
+// CheckLiveness returns the hosts that were lost or reached since the last check, and forgets those lost long ago. The argument silent
+// is how long a host counts as alive after it was last heard.
 func (r *Roster) CheckLiveness(silent time.Duration, now time.Time) (reached, lost []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -23,11 +23,13 @@
 )
 
 const (
-	// maxBreaks is how many broken requests are kept for hosts that have yet to receive them, some 60 bytes each.
+	// maxBreaks is how many entries of breaks, texts on requests that broke off, are kept for hosts that have yet to receive them; each
+	// takes some 60 bytes.
 	maxBreaks = 2000
 	// hostRetention is how long a host is kept after its last message. A host that returns later is reported as new.
 	hostRetention = time.Minute
-	// lossRetention is how long the loss of an unreported host is remembered: longer than others keep what this host sent of it.
+	// lossRetention is how long a host's loss is remembered after the last relay stopped reporting it. It exceeds the time for which other
+	// hosts keep what this host sent them of it.
 	lossRetention = 2 * hostRetention
 )
 
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// markMissing marks resident models as lost that several consecutive reports do not list. If an engine evicted a model by itself,
-// every request for it would fail.
+// markMissing marks a resident model as lost once several consecutive reports of the engine do not list it. If the engine evicted a
+// model by itself, every request for it would fail.
 func (s *Sched) markMissing(now time.Time, listed []string) {
 	for _, m := range s.held {
 		if m.state != resident || now.Sub(m.changedAt) < reportLag {
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -151,8 +151,8 @@
 	return s
 }
 
-// A new node isn't listed by the owners yet, so it receives nothing unasked, and one owner is gone. Fetch must return what the
-// others own without waiting for the lost one beyond its context.
+// A new node isn't listed by the owners yet, so it receives no digests unless it asks. One owner is out of reach. Fetch must return
+// what the other owns and not wait for the lost one beyond its context.
 func TestFetchSkipsUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/tenure/era_test.go
+++ b/internal/tenure/era_test.go
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// The store is restored from a backup and issues revisions again. Hosts that took its rows for older than their own would renew nothing,
-// and after the lease no engine would have an owner.
+// The store is restored from a backup and issues the lost revisions again. If hosts took its rows for older than their own, they would
+// renew nothing, and after the lease no engine would have an owner.
 func TestHostsKeepEnginesAfterStoreRestore(t *testing.T) {
 	runScenario(t, func(s *scenario) {
 		before := s.owners()
@@ -271,7 +271,7 @@
 	})
 }
 
-// The store is restored, and again before hosts have renewed their claims.
+// The store is restored twice, the second time perhaps before hosts have renewed their claims. Engines must have owners soon after.
 func TestStoreRestoredTwiceInARow(t *testing.T) {
 	for _, between := range []time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second, 20 * time.Second} {
 		t.Run(between.String(), func(t *testing.T) {
--- a/internal/tenure/read.go
+++ b/internal/tenure/read.go
@@ -22,8 +22,8 @@
 	peerRetryInterval = 150 * time.Millisecond
 )
 
-// readAndClaim reads new rows, claims unowned engines, and returns the time to the next step. While another host reads for this one, it
-// reads only what that host has found to be newer.
+// readAndClaim reads new rows, claims unowned engines, and returns the time to the next step. While another host reads the store for
+// this one, it reads only if that host has reported newer rows, or if its own rows are doubtful or too old.
 func (t *Tenure) readAndClaim(ctx context.Context, age time.Duration) time.Duration {
 	if !t.canSkipRead() {
 		if err := t.fetchRows(ctx); err != nil {
@@ -201,7 +201,8 @@
 	for _, row := range list {
 		if t.applyRow(row, now) {
 			news = append(news, row)
-			// Other hosts need the session, or the engines that it claims seem to have no owner.
+			// While other hosts lack this host's session, the engines that it claims seem to them to have no owner. So the session counts as
+			// unpublished until its row is among the news.
 			t.sessionUnpublished = t.sessionUnpublished && row.Key != hostPrefix+t.IP
 		}
 	}
--- a/internal/tenure/renew.go
+++ b/internal/tenure/renew.go
@@ -110,8 +110,8 @@
 	return known.Epoch, false
 }
 
-// resolveFailedRenewal reads the row where a failure leaves its state open. A renewal whose answer was lost may have been applied; its
-// revision is then unknown, and the next renewal would conflict with it.
+// resolveFailedRenewal reads this host's row if the error leaves open whether the renewal was applied. A renewal whose answer was lost
+// may have been applied; its revision is then unknown, and the next renewal would conflict with it.
 func (t *Tenure) resolveFailedRenewal(ctx context.Context, cause error) {
 	t.Log.Info("session not renewed", zap.String("host", t.IP), zap.Duration("left", t.LeaseLeft()), zap.Error(cause))
 	if errors.Is(cause, table.ErrDown) {
