--- a/internal/avoid/avoid.go
+++ b/internal/avoid/avoid.go
@@ -11,7 +11,8 @@
 	"damaskreach/internal/target"
 )
 
-// retention is how long an upstream without a registration is remembered: registrations can lapse with the store and come back.
+// retention is how long after its last announcement an upstream without a registration is remembered: registrations lapse with
+// the store and come back.
 const retention = time.Minute
 
 // Avoid records the announcements of upstreams. It may be used from several goroutines.
--- a/internal/edge/selflimit_test.go
+++ b/internal/edge/selflimit_test.go
@@ -40,7 +40,7 @@
 	turnBound    = 1100 * time.Millisecond
 	// shortPrompt, in tokens, is short enough for two engines to read all such prompts.
 	shortPrompt = 10
-	// selfLimitHosts and selfLimitUpstreams are the numbers of hosts and of upstreams.
+	// selfLimitHosts and selfLimitUpstreams are the numbers of hosts and of upstreams, one of which is self-limited.
 	selfLimitHosts     = 18
 	selfLimitUpstreams = 4
 )
--- a/internal/edge/startup.go
+++ b/internal/edge/startup.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// storePatienceAtStart is how long a starting host waits for others to send it all rows; relays read them from the store.
+	// storePatienceAtStart is how long a starting host that is no relay waits for others to send it all rows; relays read them from
+	// the store at once.
 	storePatienceAtStart = 3 * time.Second
 	// peerRowsTimeout bounds asking other hosts for all rows.
 	peerRowsTimeout = 3 * time.Second
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -14,9 +14,9 @@
 	// minWindow and maxWindow bound the window, in loads.
 	minWindow = 1
 	maxWindow = 64
-	// initialWindow applies until loads were measured; it suits a handful of hosts.
+	// initialWindow applies until loads were measured; it lets each of a handful of hosts run some loads at once.
 	initialWindow = 4
-	// slowFactor is the multiple of the baseline from which a load counts as slow.
+	// slowFactor is the multiple of the baseline from which a load counts as slow, since too many run at once.
 	slowFactor = 1.8
 	// windowDecrease is the factor applied to the window after a slow load.
 	windowDecrease = 0.9
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -32,7 +32,8 @@
 	fullShare = 0.9
 	// askTimeout bounds a charge to a shard.
 	askTimeout = 250 * time.Millisecond
-	// retryInterval is the pause before a shard without an answer is asked again.
+	// retryInterval is the pause before a shard without an answer is asked again, and before all shards are tried again if none
+	// answers.
 	retryInterval = 100 * time.Millisecond
 	// maxEmptyTTL bounds how long a shard without enough units is not asked again.
 	maxEmptyTTL = 200 * time.Millisecond
--- a/internal/limits/shards.go
+++ b/internal/limits/shards.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// shardCount is the number of shards, shared by the limits of all teams.
+	// shardCount is the number of shards, shared by the limits of all teams; it is also the most hosts that hold limits.
 	shardCount = 16
 	// minShards and maxShards bound the number of shards of one team's limit.
 	minShards = 2
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,8 @@
 	// so during a store outage.
 	minNoConfigRetry = 500 * time.Millisecond
 	maxNoConfigRetry = 3 * time.Second
-	// minStoreDownRetry replaces minNoConfigRetry while the store does not answer: such outages last for seconds.
+	// minStoreDownRetry replaces minNoConfigRetry while the store does not answer: outages that a host meets at its start last for
+	// seconds, and most callers retry only once.
 	minStoreDownRetry = 2 * time.Second
 	// otherHostRetry is the Retry-After of a host that stops; another host can serve the request at once.
 	otherHostRetry = 20 * time.Millisecond
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// checkInterval is how often gained shards are detected.
+	// checkInterval is how often gained shards are detected and counts of idle teams dropped.
 	checkInterval = 100 * time.Millisecond
 	// idleTTL is how long a team's count is kept without requests.
 	idleTTL = 5 * time.Minute
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -29,7 +29,7 @@
 const (
 	// Lease is how long a host may act after a renewal. It outlasts most outages of the store, during which all loads would stop
 	// otherwise; the engines of a host that is lost for good wait that much longer for their next load, and keep serving the
-	// adapters that they hold.
+	// adapters that they hold. A host that restarts continues at once.
 	Lease = 10 * time.Second
 	// renewInterval leaves room for two lost renewals within a lease, at less than half a call a second.
 	renewInterval = 2500 * time.Millisecond
