--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -1,8 +1,8 @@
 // Package blame finds requests that crash their upstreams, by recording which upstreams broke off under which requests.
 //
-// Some requests crash every upstream that runs them, and callers and hosts retry them. Unrecorded, such a request takes down
-// one upstream after the other, with all requests beside it; the symptom is upstreams that restart in turn. A request that merely ran beside the cause breaks off too, but
-// seldom at three upstreams.
+// Some requests crash every upstream that runs them, and callers and hosts retry them. Unrecorded, such a request takes
+// down one upstream after the other, with all requests beside it; the symptom is upstreams that restart in turn. A
+// request that merely ran beside the cause breaks off too, but seldom at three upstreams.
 package blame
 
 import (
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,8 +1,9 @@
 // Package flow limits how many adapter loads a host has in flight, by how long loads take.
 //
-// A weight store serves a few loads at full speed; with more in flight each takes longer in proportion, so that
-// nothing is gained and all finish late. The symptom is loads that take three times their usual time. The store's capacity is unknown and shared by all hosts, so each host adapts a window as TCP does: it grows while
-// loads take their usual time, and shrinks when they become slow.
+// A weight store serves a few loads at full speed; with more in flight each takes longer in proportion, so that nothing
+// is gained and all finish late. The symptom is loads that take three times their usual time. The store's capacity is
+// unknown and shared by all hosts, so each host adapts a window as TCP does: it grows while loads take their usual
+// time, and shrinks when they become slow.
 package flow
 
 import (
